--- a/quarantine/attributes.go
+++ b/quarantine/attributes.go
@@ -1,10 +1,10 @@
 package quarantine
 
-// Kind is what of a request a digest stands for.
+// Kind is the attribute of a request that a digest identifies.
 type Kind uint8
 
 const (
-	// KindContent is the whole content: what a client sends again.
+	// KindContent is the whole content, which is the same when a client resends the request.
 	KindContent Kind = iota
 	// KindPart is a part of the prompt that other requests may share.
 	KindPart
@@ -20,30 +20,30 @@
 
 // Part is a part of a prompt that other requests may share.
 type Part struct {
-	// ID is the client's name for the part. It is not told to other daemons.
+	// ID is the client's name for the part. It is not sent to other daemons.
 	ID     string
 	Digest Digest
 }
 
-// Attributes are what a request is judged by.
+// Attributes are the properties of a request that decide whether it is held.
 type Attributes struct {
 	Content Digest
 	// Parts are the shared parts of its prompt.
 	Parts []Part
 }
 
-// digests returns all digests with their kinds.
-func (a *Attributes) digests(do func(Kind, Digest)) {
+// eachDigest calls do for each digest with its kind.
+func (a *Attributes) eachDigest(do func(Kind, Digest)) {
 	do(KindContent, a.Content)
 	for _, part := range a.Parts {
 		do(KindPart, part.Digest)
 	}
 }
 
-// has reports whether a part is among the shared ones.
-func (a *Attributes) has(part Digest) bool {
-	for _, known := range a.Parts {
-		if known.Digest == part {
+// hasPart reports whether a part is among the shared ones.
+func (a *Attributes) hasPart(part Digest) bool {
+	for _, shared := range a.Parts {
+		if shared.Digest == part {
 			return true
 		}
 	}
--- a/quarantine/digest.go
+++ b/quarantine/digest.go
@@ -10,18 +10,17 @@
 	"github.com/wheatweir/wheatweir/tenant"
 )
 
-// digestSize is enough to tell contents apart: two of 2^32 contents share a digest with a
-// probability of 2^-65.
+// digestSize, in bytes, makes collisions unlikely: two of 2^32 contents share a digest with a probability of 2^-65.
 const digestSize = 16
 
-// Digest stands for the content of a request. It tells nothing of a body or key to somebody who
-// lacks the secret of the deployment, also not whether it is a body that he guesses.
+// Digest identifies the content or a prompt part of a request. Without the secret of the deployment it reveals nothing
+// about a body or key, nor does it allow a guessed body to be verified.
 type Digest [digestSize]byte
 
 // String returns the form used in logs and in the store.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// ParseDigest reads the form that String returns.
+// ParseDigest parses the form that String returns.
 func ParseDigest(text string) (Digest, error) {
 	var digest Digest
 	decoded, err := hex.DecodeString(text)
@@ -29,15 +28,15 @@
 		return digest, ErrDigest.Wrap(err)
 	}
 	if copy(digest[:], decoded) != digestSize || len(decoded) != digestSize {
-		return Digest{}, ErrDigest.New("%d bytes", len(decoded))
+		return Digest{}, ErrDigest.New("wrong length of %d bytes", len(decoded))
 	}
 	return digest, nil
 }
 
-// Content is what makes two tries of a client the same request. IDs, deadlines and other fields
-// differ from try to try.
+// Content holds the fields that two attempts of a client at the same request have in common. IDs, deadlines and other
+// fields differ between attempts.
 type Content struct {
-	// Caller is the digest of the caller's key; the zero value if it gave none.
+	// Caller is the digest of the caller's key; the zero value if the request has no key.
 	Caller tenant.Digest
 	Method string
 	Host   string
@@ -46,10 +45,10 @@
 	Body []byte
 }
 
-// Hasher computes digests that all daemons of a deployment share. It is safe for concurrent use.
+// Hasher computes digests that are the same on all daemons of a deployment. It is safe for concurrent use.
 type Hasher struct{ secret [sha256.Size]byte }
 
-// NewHasher returns a hasher for what only the daemons of a deployment know.
+// NewHasher returns a hasher that is keyed with the secret of a deployment.
 func NewHasher(secret string) *Hasher {
 	return &Hasher{secret: sha256.Sum256([]byte("contents of requests " + secret))}
 }
@@ -58,35 +57,35 @@
 func (h *Hasher) Part(id string) Digest {
 	sum := sha256.New()
 	sum.Write(h.secret[:])
-	writePart(sum, "part of a prompt")
-	writePart(sum, id)
-	return cut(sum)
+	writeString(sum, "part of a prompt")
+	writeString(sum, id)
+	return truncate(sum)
 }
 
-// Sum returns the digest of a content: a cut SHA-256 that begins with the secret. It takes some 1.2 µs
-// and 7 allocations for a body of 600 B and 0.9 ms for one of 1 MiB (BenchmarkDigest, on a busy
-// machine), so it is computed only while some content is suspected.
+// Sum returns the digest of a content: a truncated SHA-256 over the secret and the content. It takes about 1.2 µs and 7
+// allocations for a body of 600 B, and 0.9 ms for one of 1 MiB (BenchmarkDigest, on a busy machine), so it is computed
+// only while some content is suspected.
 func (h *Hasher) Sum(content *Content) Digest {
 	sum := sha256.New()
 	sum.Write(h.secret[:])
 	sum.Write(content.Caller[:])
-	writePart(sum, content.Method)
-	writePart(sum, content.Host)
-	writePart(sum, content.URI)
+	writeString(sum, content.Method)
+	writeString(sum, content.Host)
+	writeString(sum, content.URI)
 	sum.Write(content.Body)
-	return cut(sum)
+	return truncate(sum)
 }
 
-// cut returns the first bytes of a sum.
-func cut(sum hash.Hash) Digest {
-	var whole [sha256.Size]byte
+// truncate returns the first digestSize bytes of a sum.
+func truncate(sum hash.Hash) Digest {
+	var full [sha256.Size]byte
 	var digest Digest
-	copy(digest[:], sum.Sum(whole[:0]))
+	copy(digest[:], sum.Sum(full[:0]))
 	return digest
 }
 
-// writePart writes a text with its length, so that parts cannot run into each other.
-func writePart(into hash.Hash, text string) {
+// writeString writes a text after its length, so that the boundaries of adjacent texts are part of the sum.
+func writeString(into hash.Hash, text string) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(text)))
 	into.Write(length[:])
--- a/quarantine/digest_test.go
+++ b/quarantine/digest_test.go
@@ -10,10 +10,10 @@
 	base := Content{Method: "POST", Host: "host", URI: "/path/x", Body: []byte("body")}
 	hasher := NewHasher("secret")
 	if hasher.Sum(&base) != NewHasher("secret").Sum(&base) {
-		t.Error("two daemons of one deployment get two digests")
+		t.Error("two daemons of one deployment compute different digests")
 	}
 	if hasher.Sum(&base) == NewHasher("another").Sum(&base) {
-		t.Error("the secret makes no difference")
+		t.Error("the digest does not depend on the secret")
 	}
 	for name, change := range map[string]func(*Content){
 		"caller": func(c *Content) { c.Caller = tenant.DigestOf("key") },
@@ -21,14 +21,14 @@
 		"host":   func(c *Content) { c.Host = "other" },
 		"target": func(c *Content) { c.URI = "/path/y" },
 		"body":   func(c *Content) { c.Body = []byte("bodz") },
-		"where parts end": func(c *Content) {
+		"boundary of host and URI": func(c *Content) {
 			c.Host, c.URI = "host/", "path/x"
 		},
 	} {
 		changed := base
 		change(&changed)
 		if hasher.Sum(&base) == hasher.Sum(&changed) {
-			t.Errorf("%s makes no difference", name)
+			t.Errorf("the digest does not depend on: %s", name)
 		}
 	}
 }
@@ -58,14 +58,14 @@
 	}
 }
 
-// TestDigestsOfPartsAreTheirOwn covers a part whose ID is what a content is made of: they must not be taken for each other.
+// TestDigestsOfPartsAreTheirOwn covers a part whose ID equals a field of a content: their digests must differ.
 func TestDigestsOfPartsAreTheirOwn(t *testing.T) {
 	hasher := NewHasher("secret")
 	if hasher.Part("x") == hasher.Part("y") || hasher.Part("x") == NewHasher("other").Part("x") || hasher.Part("x") == hasher.Sum(&Content{URI: "x"}) {
-		t.Error("digests of different things are the same")
+		t.Error("different parts, secrets or kinds have the same digest")
 	}
 	if again := NewHasher("secret").Part("x"); hasher.Part("x") != again {
-		t.Error("two digests of one part")
+		t.Error("one part has two digests")
 	}
 }
 
--- a/quarantine/partsimulation_test.go
+++ b/quarantine/partsimulation_test.go
@@ -7,45 +7,47 @@
 	"time"
 )
 
-// partFigures are the sums of what happened.
-type partFigures struct {
-	// ended are servers that ended under deadly requests, late the sends of these later than agreeSpan after the fifth.
-	ended, late int
-	// sent and served are sound requests of the first route from twice agreeSpan after the last of the first five
-	// crashes on; lost are all sound ones that were not served, held those that were held.
-	sent, served, lost, held, sound int
+// partTotals are the sums over the requests and servers of simulations.
+type partTotals struct {
+	// crashes are servers that crashed under crashing requests. late are crashing requests that were sent later than
+	// agreementTime after the fifth crash.
+	crashes, late int
+	// sent and served are harmless requests of the first route that arrived later than twice agreementTime after the last
+	// of the first five crashes. harmless are all harmless requests, lost those that were not served, and held those that
+	// were held.
+	sent, served, lost, held, harmless int
 }
 
-func (f *partFigures) add(other partFigures) {
-	f.ended += other.ended
-	f.late += other.late
-	f.sent += other.sent
-	f.served += other.served
-	f.lost += other.lost
-	f.held += other.held
-	f.sound += other.sound
+func (t *partTotals) add(other partTotals) {
+	t.crashes += other.crashes
+	t.late += other.late
+	t.sent += other.sent
+	t.served += other.served
+	t.lost += other.lost
+	t.held += other.held
+	t.harmless += other.harmless
 }
 
-// partSimulation is a fleet in virtual time under one way.
+// partSimulation is a fleet in virtual time under one policy.
 type partSimulation struct {
-	way      partWay
-	borne    partCase
+	policy   partPolicy
+	scenario partScenario
 	random   *rand.Rand
 	now      time.Time
 	book     *Book
-	machines []*partMachine
+	servers  []*partServer
 	waiting  []*partRequest
-	later    []told
+	events   []event
 	next     int
 	session  int
-	// crashes are the times at which servers ended under each cause, sends those of its requests.
+	// crashes are the times at which servers crashed under each cause, sends those at which its requests were sent.
 	crashes, sends map[string][]time.Time
-	goodAt         map[Digest]time.Time
-	turnAt         map[Digest]time.Time
+	servedAt       map[Digest]time.Time
+	nextTurnAt     map[Digest]time.Time
 	outcomes       []partOutcome
 }
 
-// partOutcome is what became of one sound request of the first route.
+// partOutcome is the outcome of one harmless request.
 type partOutcome struct {
 	at     time.Time
 	route  string
@@ -53,20 +55,20 @@
 	held   bool
 }
 
-func newPartSimulation(chosen partWay, borne partCase, seed uint64) *partSimulation {
+func newPartSimulation(chosen partPolicy, scenario partScenario, seed uint64) *partSimulation {
 	s := &partSimulation{
-		way: chosen, borne: borne, random: rand.New(rand.NewPCG(seed, 66)), now: start, book: NewBook(),
-		crashes: map[string][]time.Time{}, sends: map[string][]time.Time{}, goodAt: map[Digest]time.Time{}, turnAt: map[Digest]time.Time{},
+		policy: chosen, scenario: scenario, random: rand.New(rand.NewPCG(seed, 66)), now: start, book: NewBook(),
+		crashes: map[string][]time.Time{}, sends: map[string][]time.Time{}, servedAt: map[Digest]time.Time{}, nextTurnAt: map[Digest]time.Time{},
 	}
 	s.book.partLimit = chosen.limit
-	for range simulatedServers {
-		s.machines = append(s.machines, &partMachine{})
+	for range serverCount {
+		s.servers = append(s.servers, &partServer{})
 	}
 	return s
 }
 
-func (s *partSimulation) after(span time.Duration, do func(now time.Time)) {
-	s.later = append(s.later, told{s.now.Add(span), do})
+func (s *partSimulation) schedule(delay time.Duration, do func(now time.Time)) {
+	s.events = append(s.events, event{s.now.Add(delay), do})
 }
 
 // arrive adds a request with shared parts.
@@ -76,22 +78,22 @@
 		content = fmt.Sprint("content", s.next)
 	}
 	request := &partRequest{
-		Attributes: Attributes{Content: named(content)}, deadly: cause != "", first: parts[0], arrived: s.now,
-		model: s.random.IntN(simulatedServers / serversOfModel),
+		Attributes: Attributes{Content: testDigest(content)}, crashing: cause != "", first: parts[0], arrived: s.now,
+		model: s.random.IntN(serverCount / serversPerModel),
 		runs:  500*time.Millisecond + time.Duration(s.random.Int64N(int64(2500*time.Millisecond))),
 	}
-	if request.deadly {
+	if request.crashing {
 		request.first = cause
 	}
 	for _, part := range parts {
-		request.Parts = append(request.Parts, Part{ID: part, Digest: named(part)})
+		request.Parts = append(request.Parts, Part{ID: part, Digest: testDigest(part)})
 	}
 	s.waiting = append(s.waiting, request)
 }
 
-func (s *partSimulation) arriveSound() {
+func (s *partSimulation) arriveHarmless() {
 	route := s.random.IntN(partRoutes)
-	second := someSubject(s.random)
+	second := randomSubject(s.random)
 	if s.random.Float64() < partSessionShare {
 		s.session++
 		second = fmt.Sprint("session", s.session/3)
@@ -100,37 +102,37 @@
 }
 
 func (s *partSimulation) run() {
-	for s.now.Before(start.Add(partSpan)) {
-		s.later = slices.DeleteFunc(s.later, func(word told) bool {
-			if word.at.After(s.now) {
+	for s.now.Before(start.Add(partDuration)) {
+		s.events = slices.DeleteFunc(s.events, func(pending event) bool {
+			if pending.at.After(s.now) {
 				return false
 			}
-			word.apply(s.now)
+			pending.apply(s.now)
 			return true
 		})
-		for _, at := range s.borne.racks {
+		for _, at := range s.scenario.racks {
 			if s.now.Equal(start.Add(at)) {
-				for _, number := range s.random.Perm(simulatedServers)[:simulatedServers/8] {
+				for _, number := range s.random.Perm(serverCount)[:serverCount/8] {
 					s.crash(number, "")
 				}
 			}
 		}
 		if s.random.Float64() < arrivalsPerStep {
-			s.arriveSound()
+			s.arriveHarmless()
 		}
-		if s.now.Sub(start) >= partFrom {
-			for _, prompt := range s.borne.prompts {
+		if s.now.Sub(start) >= partStart {
+			for _, prompt := range s.scenario.prompts {
 				if s.random.Float64() < partRequestsShare {
 					cause, parts := prompt(s.random)
 					s.arrive(parts, cause, "")
 				}
 			}
-			if s.borne.content && s.now.Sub(start)%deadlyPause == 0 {
+			if s.scenario.content && s.now.Sub(start)%resendDelay == 0 {
 				s.arrive([]string{routePart(1), "rare"}, "content", "deadly content")
 			}
 		}
 		s.waiting = slices.DeleteFunc(s.waiting, s.send)
-		for number := range s.machines {
+		for number := range s.servers {
 			s.work(number)
 		}
 		s.now = s.now.Add(simulationStep)
@@ -140,7 +142,7 @@
 // holds reports whether a request is held.
 func (s *partSimulation) holds(request *partRequest) bool {
 	attributes := request.Attributes
-	if s.way.contents {
+	if s.policy.contentsOnly {
 		attributes.Parts = nil
 	}
 	until, _ := s.book.RequestHeldUntil(s.now, &attributes)
@@ -150,42 +152,42 @@
 // suspects returns the suspected digests of a request.
 func (s *partSimulation) suspects(request *partRequest) []Digest {
 	var list []Digest
-	request.digests(func(kind Kind, digest Digest) {
-		if (kind == KindContent || !s.way.contents) && s.book.Suspects(s.now, digest) {
+	request.eachDigest(func(kind Kind, digest Digest) {
+		if (kind == KindContent || !s.policy.contentsOnly) && s.book.Suspects(s.now, digest) {
 			list = append(list, digest)
 		}
 	})
 	return list
 }
 
-// mayRun reports whether a request may run now, and takes its turns.
+// mayRun reports whether a request may run now, and takes its turns if so.
 func (s *partSimulation) mayRun(request *partRequest) bool {
 	suspects := s.suspects(request)
-	if s.way.turns && slices.ContainsFunc(suspects, func(digest Digest) bool { return s.now.Before(s.turnAt[digest]) }) {
+	if s.policy.turns && slices.ContainsFunc(suspects, func(digest Digest) bool { return s.now.Before(s.nextTurnAt[digest]) }) {
 		return false
 	}
 	for _, digest := range suspects {
-		s.turnAt[digest] = s.now.Add(turnPause)
+		s.nextTurnAt[digest] = s.now.Add(turnInterval)
 	}
 	return true
 }
 
-// send begins a request, or ends it without a run. It reports whether the request waits no longer.
+// send starts a request, or ends it without a run. It reports whether the request no longer waits.
 func (s *partSimulation) send(request *partRequest) bool {
 	switch {
 	case s.holds(request):
-		s.ended(request, false, true)
+		s.recordOutcome(request, false, true)
 		return true
-	case s.now.Sub(request.arrived) > partPatience:
-		s.ended(request, false, false)
+	case s.now.Sub(request.arrived) > partSendTimeout:
+		s.recordOutcome(request, false, false)
 		return true
 	}
-	suspect := s.way.apart && len(s.suspects(request)) > 0
+	suspect := s.policy.isolate && len(s.suspects(request)) > 0
 	best := s.choose(request, suspect)
 	if best == nil || !s.mayRun(request) {
 		return false
 	}
-	if request.deadly {
+	if request.crashing {
 		s.sends[request.first] = append(s.sends[request.first], s.now)
 	}
 	request.began = s.now
@@ -194,17 +196,17 @@
 	return true
 }
 
-// choose returns the server that takes a request: the one of its second part if the load is sticky, or the one with
-// the least to do.
-func (s *partSimulation) choose(request *partRequest, suspect bool) *partMachine {
-	var best *partMachine
+// choose returns the server that gets a request: if the load is sticky, the one of its second part if available; else the
+// one with the fewest requests.
+func (s *partSimulation) choose(request *partRequest, suspect bool) *partServer {
+	var best *partServer
 	sticky := -1
-	if s.borne.sticky {
-		sticky = int(request.Parts[1].ID[len(request.Parts[1].ID)-1]) % serversOfModel
+	if s.scenario.sticky {
+		sticky = int(request.Parts[1].ID[len(request.Parts[1].ID)-1]) % serversPerModel
 	}
-	for offset := range serversOfModel {
-		candidate := s.machines[request.model*serversOfModel+offset]
-		if s.now.Before(candidate.backAt) || suspect && slices.ContainsFunc(candidate.running, func(other *partRequest) bool { return len(s.suspects(other)) > 0 }) {
+	for offset := range serversPerModel {
+		candidate := s.servers[request.model*serversPerModel+offset]
+		if s.now.Before(candidate.availableAt) || suspect && slices.ContainsFunc(candidate.running, func(other *partRequest) bool { return len(s.suspects(other)) > 0 }) {
 			continue
 		}
 		if offset == sticky {
@@ -217,97 +219,97 @@
 	return best
 }
 
-// ended notes what became of a sound request.
-func (s *partSimulation) ended(request *partRequest, served, held bool) {
-	if !request.deadly {
+// recordOutcome records the outcome of a harmless request.
+func (s *partSimulation) recordOutcome(request *partRequest, served, held bool) {
+	if !request.crashing {
 		s.outcomes = append(s.outcomes, partOutcome{at: request.arrived, route: request.first, served: served, held: held})
 	}
 }
 
 func (s *partSimulation) work(number int) {
-	worker := s.machines[number]
+	worker := s.servers[number]
 	worker.running = slices.DeleteFunc(worker.running, func(request *partRequest) bool {
-		if request.deadly || s.now.Sub(request.began) < request.runs {
+		if request.crashing || s.now.Sub(request.began) < request.runs {
 			return false
 		}
-		s.ended(request, true, false)
-		request.digests(func(_ Kind, digest Digest) { s.goodAt[digest] = s.now })
-		s.after(knownAfter, func(now time.Time) {
-			request.digests(func(_ Kind, digest Digest) { s.book.Served(now, digest) })
+		s.recordOutcome(request, true, false)
+		request.eachDigest(func(_ Kind, digest Digest) { s.servedAt[digest] = s.now })
+		s.schedule(reportDelay, func(now time.Time) {
+			request.eachDigest(func(_ Kind, digest Digest) { s.book.Served(now, digest) })
 		})
 		return true
 	})
 	for _, request := range worker.running {
-		if request.deadly && s.now.Sub(request.began) >= deadlyAfter {
+		if request.crashing && s.now.Sub(request.began) >= crashDelay {
 			s.crash(number, request.first)
 			return
 		}
 	}
 }
 
-// crash ends a server with all that it runs.
+// crash ends a server with all its requests.
 func (s *partSimulation) crash(number int, cause string) {
-	worker := s.machines[number]
-	worker.life++
-	worker.backAt = s.now.Add(2200*time.Millisecond + time.Duration(s.random.Int64N(int64(3800*time.Millisecond))))
+	worker := s.servers[number]
+	worker.incarnation++
+	worker.availableAt = s.now.Add(2200*time.Millisecond + time.Duration(s.random.Int64N(int64(3800*time.Millisecond))))
 	if cause != "" {
 		s.crashes[cause] = append(s.crashes[cause], s.now)
 	}
 	var update Update
 	at := s.now
-	server := fmt.Sprint(number, "/", worker.life)
+	server := fmt.Sprint(number, "/", worker.incarnation)
 	for _, request := range worker.running {
 		crash := Told{Server: server, Ran: s.now.Sub(request.began)}
-		request.digests(func(kind Kind, digest Digest) {
+		request.eachDigest(func(kind Kind, digest Digest) {
 			switch {
 			case kind == KindContent:
-			case s.way.contents, s.way.sound && !s.goodAt[digest].IsZero() && s.now.Sub(s.goodAt[digest]) < soundBefore:
+			case s.policy.contentsOnly, s.policy.exemptServed && !s.servedAt[digest].IsZero() && s.now.Sub(s.servedAt[digest]) < harmlessWindow:
 				return
-			case s.way.alike:
+			case s.policy.partsAsContents:
 				kind = KindContent
 			}
 			update.Items = append(update.Items, Item{Digest: digest, Kind: kind, Crashes: []Told{crash}})
 		})
-		s.comesBack(request)
+		s.resend(request)
 	}
 	worker.running = nil
-	s.after(knownAfter, func(now time.Time) {
+	s.schedule(reportDelay, func(now time.Time) {
 		update.Wait(now.Sub(at))
 		s.book.Learn(now, update)
 	})
 }
 
-// comesBack sends a request once more whose answer broke.
-func (s *partSimulation) comesBack(request *partRequest) {
+// resend sends a request once more whose answer was interrupted.
+func (s *partSimulation) resend(request *partRequest) {
 	if request.tries > 1 {
-		s.ended(request, false, false)
+		s.recordOutcome(request, false, false)
 		return
 	}
 	again := *request
-	s.after(deadlyPause, func(now time.Time) {
+	s.schedule(resendDelay, func(now time.Time) {
 		again.arrived = now
 		s.waiting = append(s.waiting, &again)
 	})
 }
 
-func (s *partSimulation) figures() partFigures {
-	var sum partFigures
-	settled := start.Add(partFrom)
+func (s *partSimulation) totals() partTotals {
+	var sum partTotals
+	settled := start.Add(partStart)
 	for cause, crashes := range s.crashes {
-		sum.ended += len(crashes)
+		sum.crashes += len(crashes)
 		last := crashes[min(len(crashes), 5)-1]
 		if last.After(settled) {
 			settled = last
 		}
 		for _, sent := range s.sends[cause] {
-			if sent.After(last.Add(agreeSpan)) {
+			if sent.After(last.Add(agreementTime)) {
 				sum.late++
 			}
 		}
 	}
-	settled = settled.Add(2 * agreeSpan)
+	settled = settled.Add(2 * agreementTime)
 	for _, outcome := range s.outcomes {
-		sum.sound++
+		sum.harmless++
 		if !outcome.served {
 			sum.lost++
 		}
--- a/quarantine/presence.go
+++ b/quarantine/presence.go
@@ -6,10 +6,10 @@
 const (
 	// PresenceListening means that the connection is accepted and stays open, or that the outcome is inconclusive.
 	PresenceListening Presence = iota
-	// PresenceRefused means that the connection is refused: the server has ended.
+	// PresenceRefused means that the connection is refused: the server has crashed or stopped.
 	PresenceRefused
-	// PresenceClosing means that the connection is accepted and closed at once, by a relay whose server has ended or
-	// by a server that has too many connections.
+	// PresenceClosing means that the connection is accepted and closed at once, by a relay whose server has crashed
+	// or stopped, or by a server that has too many connections.
 	PresenceClosing
 )
 
--- a/quarantine/update.go
+++ b/quarantine/update.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Update is what one book tells another.
+// Update carries evidence from one book to another.
 type Update struct {
 	Items []Item `msgpack:"i"`
 }
 
-// Empty reports whether there is nothing to tell.
+// Empty reports whether the update has no items.
 func (u *Update) Empty() bool { return len(u.Items) == 0 }
 
-// Wait makes what is told older by the time that it has waited.
+// Wait adds to all ages the time for which the update has waited.
 func (u *Update) Wait(span time.Duration) {
 	for i := range u.Items {
 		for j := range u.Items[i].Crashes {
@@ -24,19 +24,19 @@
 	}
 }
 
-// Item is what is told of one content or part.
+// Item is the evidence against one content or part.
 type Item struct {
 	Digest  Digest `msgpack:"c"`
 	Kind    Kind   `msgpack:"k,omitempty"`
 	Crashes []Told `msgpack:"s"`
-	// Cleared says that a run has ended well, the last one ClearedAge ago: no crash before counts.
+	// Cleared is set if a run was successful. The last such run ended ClearedAge ago; no crash before it counts.
 	Cleared    bool          `msgpack:"e,omitempty"`
 	ClearedAge time.Duration `msgpack:"l,omitempty"`
-	// Held says that the teller holds the part by these crashes.
+	// Held is set if the sender holds the part for these crashes.
 	Held bool `msgpack:"h,omitempty"`
 }
 
-// clearedAt returns when the last run ended well; the zero time if none has.
+// clearedAt returns when the last successful run ended; the zero time if there was none.
 func (i *Item) clearedAt(now time.Time) time.Time {
 	if !i.Cleared {
 		return time.Time{}
@@ -44,70 +44,70 @@
 	return now.Add(-max(0, i.ClearedAge))
 }
 
-// Forgotten reports whether all of the crashes are too long ago to be remembered.
+// Forgotten reports whether all crashes are older than the retention period.
 func (i *Item) Forgotten() bool {
-	return !slices.ContainsFunc(i.Crashes, func(told Told) bool { return told.Age < rememberSpan })
+	return !slices.ContainsFunc(i.Crashes, func(report Told) bool { return report.Age < crashRetention })
 }
 
-// Told is one crash under a content.
+// Told reports one crash under a content.
 type Told struct {
-	// Server is one life of a server.
+	// Server identifies one run of a server process; a restarted server has another ID.
 	Server string `msgpack:"s"`
 	// Age is how long ago the server crashed.
 	Age time.Duration `msgpack:"a,omitempty"`
-	// Ran is how long the content had run there until then.
+	// Ran is how long the content had been running there when the server crashed.
 	Ran time.Duration `msgpack:"r,omitempty"`
-	// Void says that a run of the content has ended well since.
+	// Void is set if a run of the content has been successful since.
 	Void bool `msgpack:"v,omitempty"`
 	// Unconfirmed is set if the server closes new connections but may still run.
 	Unconfirmed bool `msgpack:"u,omitempty"`
 }
 
-// crash returns what is told as it is kept.
+// crash converts a report into a crash with absolute times.
 func (t *Told) crash(now time.Time) crash {
 	at := now.Add(-max(0, t.Age))
 	return crash{at: at, began: at.Add(-max(0, t.Ran)), void: t.Void, unconfirmed: t.Unconfirmed}
 }
 
-// told returns what is kept as it is told.
-func (c crash) told(now time.Time, server string) Told {
+// report converts a crash into a report with ages.
+func (c crash) report(now time.Time, server string) Told {
 	return Told{Server: server, Age: now.Sub(c.at), Ran: c.at.Sub(c.began), Void: c.void, Unconfirmed: c.unconfirmed}
 }
 
-// mostTold bounds the contents of one update, to some 20 kB.
-const mostTold = 256
+// maxUpdateItems limits an update to some 20 kB.
+const maxUpdateItems = 256
 
-// Newest returns what a daemon may lack that has just started or has missed a message: all contents
-// that are held, and what was learned within a span.
+// Newest returns the evidence that a daemon may lack that has just started or has missed a message: all records that hold
+// requests, and those that changed within the span.
 func (b *Book) Newest(now time.Time, span time.Duration) Update {
 	var held, fresh []Item
-	for content, known := range b.records {
+	for content, rec := range b.records {
 		switch {
-		case known.holds():
-			held = append(held, known.item(now, content))
-		case now.Sub(known.changedAt) < span:
-			fresh = append(fresh, known.item(now, content))
+		case rec.holds():
+			held = append(held, rec.item(now, content))
+		case now.Sub(rec.changedAt) < span:
+			fresh = append(fresh, rec.item(now, content))
 		}
 	}
 	items := slices.Concat(held, fresh)
-	return Update{Items: items[:min(len(items), mostTold)]}
+	return Update{Items: items[:min(len(items), maxUpdateItems)]}
 }
 
-// Evidence returns all that is known of one content.
+// Evidence returns the whole evidence against one content.
 func (b *Book) Evidence(now time.Time, content Digest) Item {
-	known := b.records[content]
-	if known == nil {
+	rec := b.records[content]
+	if rec == nil {
 		return Item{Digest: content}
 	}
-	return known.item(now, content)
+	return rec.item(now, content)
 }
 
 func (r *record) item(now time.Time, content Digest) Item {
 	item := Item{Digest: content, Kind: r.kind}
 	item.Cleared, item.ClearedAge = r.cleared(now)
 	item.Held = r.held && r.kind == KindPart
-	for server, known := range r.crashes {
-		item.Crashes = append(item.Crashes, known.told(now, server))
+	for server, seen := range r.crashes {
+		item.Crashes = append(item.Crashes, seen.report(now, server))
 	}
 	slices.SortFunc(item.Crashes, func(a, b Told) int { return strings.Compare(a.Server, b.Server) })
 	return item
@@ -116,8 +116,8 @@
 // Durable returns the contents whose evidence must be kept in the store.
 func (b *Book) Durable() []Digest {
 	var contents []Digest
-	for content, known := range b.records {
-		if known.durable {
+	for content, rec := range b.records {
+		if rec.durable {
 			contents = append(contents, content)
 		}
 	}
@@ -127,8 +127,8 @@
 // Held returns the contents or parts that are held, by themselves or together with others.
 func (b *Book) Held(now time.Time, kind Kind) []Digest {
 	var held []Digest
-	for content, known := range b.records {
-		if known.kind == kind && known.holds() && !known.holdsUntil(now).IsZero() {
+	for content, rec := range b.records {
+		if rec.kind == kind && rec.holds() && !rec.holdsUntil(now).IsZero() {
 			held = append(held, content)
 		}
 	}
