--- a/quarantine/contentpolicies_test.go
+++ b/quarantine/contentpolicies_test.go
@@ -98,15 +98,16 @@
 }
 
 type totals struct {
-	// crashes are servers that crashed under crashing requests, bystanders the harmless requests that these crashes
-	// interrupted. held are harmless requests that were held, and interrupted all harmless requests that a crash interrupted.
-	crashes, bystanders, held, interrupted int
+	// crashedServers are servers that crashed under crashing requests, bystanders the harmless requests that these crashes
+	// interrupted. harmlessHeld are harmless requests that were held, and interrupted all harmless requests that a crash
+	// interrupted.
+	crashedServers, bystanders, harmlessHeld, interrupted int
 }
 
 func (t *totals) add(other totals) {
-	t.crashes += other.crashes
+	t.crashedServers += other.crashedServers
 	t.bystanders += other.bystanders
-	t.held += other.held
+	t.harmlessHeld += other.harmlessHeld
 	t.interrupted += other.interrupted
 }
 
@@ -179,7 +180,7 @@
 func (s *simulation) send(request *simRequest) bool {
 	if s.policy.held(s.book, request.content) {
 		if !request.crashing {
-			s.totals.held++
+			s.totals.harmlessHeld++
 		}
 		return true
 	}
@@ -241,9 +242,9 @@
 	worker := s.servers[number]
 	worker.incarnation++
 	worker.availableAt = s.now.Add(2200*time.Millisecond + time.Duration(s.random.Int64N(int64(3800*time.Millisecond))))
-	var victims []Victim
+	var interrupted []Victim
 	for _, request := range worker.running {
-		victims = append(victims, Victim{Content: request.content, Began: request.began})
+		interrupted = append(interrupted, Victim{Content: request.content, Began: request.began})
 		s.resend(request)
 		if !request.crashing {
 			s.totals.interrupted++
@@ -254,11 +255,11 @@
 	}
 	worker.running = nil
 	if crashing {
-		s.totals.crashes++
+		s.totals.crashedServers++
 	}
 	server := fmt.Sprint(number, "/", worker.incarnation)
 	at := s.now
-	s.schedule(reportDelay, func(now time.Time) { s.book.Crashed(now, at, server, victims) })
+	s.schedule(reportDelay, func(now time.Time) { s.book.Crashed(now, at, server, interrupted) })
 }
 
 // resend sends a request again whose answer was interrupted.
@@ -314,11 +315,11 @@
 	for _, workload := range loads {
 		t.Run(workload.name, func(t *testing.T) {
 			sum := simulatePolicy(policies[0], workload, seeds)
-			if limit := workload.crashing * (crashLimit + 1) * seeds; sum.crashes > limit {
-				t.Errorf("%d servers crashed, want at most %d", sum.crashes, limit)
+			if limit := workload.crashing * (crashLimit + 1) * seeds; sum.crashedServers > limit {
+				t.Errorf("%d servers crashed, want at most %d", sum.crashedServers, limit)
 			}
-			if 1000*sum.held > workload.maxHeldPerMille*sum.interrupted {
-				t.Errorf("%d of %d interrupted harmless requests are held", sum.held, sum.interrupted)
+			if 1000*sum.harmlessHeld > workload.maxHeldPerMille*sum.interrupted {
+				t.Errorf("%d of %d interrupted harmless requests are held", sum.harmlessHeld, sum.interrupted)
 			}
 		})
 	}
@@ -335,9 +336,9 @@
 					seeds += 40
 					sum.add(simulatePolicy(chosen, workload, 40))
 				}
-				b.ReportMetric(float64(sum.crashes)/float64(seeds), "ended")
+				b.ReportMetric(float64(sum.crashedServers)/float64(seeds), "ended")
 				b.ReportMetric(float64(sum.bystanders)/float64(seeds), "bystanders")
-				b.ReportMetric(float64(sum.held)/float64(seeds), "harmless-held")
+				b.ReportMetric(float64(sum.harmlessHeld)/float64(seeds), "harmless-held")
 			})
 		}
 	}
--- a/quarantine/hold_test.go
+++ b/quarantine/hold_test.go
@@ -97,8 +97,8 @@
 			now := start
 			for number, requests := range c.crashes {
 				crashRequests(book, now, fmt.Sprint("server", number), requests...)
-				for _, part := range c.served {
-					book.Served(now, testDigest(part))
+				for _, served := range c.served {
+					book.Served(now, testDigest(served))
 				}
 				now = now.Add(crashInterval)
 			}
--- a/quarantine/partpolicies_test.go
+++ b/quarantine/partpolicies_test.go
@@ -177,7 +177,7 @@
 				for b.Loop() {
 					sum = simulatePartPolicy(chosen, scenario, seeds)
 				}
-				b.ReportMetric(float64(sum.crashes)/seeds, "ended")
+				b.ReportMetric(float64(sum.crashedServers)/seeds, "ended")
 				b.ReportMetric(float64(sum.late)/seeds, "late")
 				b.ReportMetric(float64(sum.served)/float64(max(1, sum.sent)), "served")
 				b.ReportMetric(float64(sum.lost)/seeds, "lost")
--- a/quarantine/partsimulation_test.go
+++ b/quarantine/partsimulation_test.go
@@ -9,9 +9,9 @@
 
 // partTotals are the sums over the requests and servers of simulations.
 type partTotals struct {
-	// crashes are servers that crashed under crashing requests. late are crashing requests that were sent later than
+	// crashedServers are servers that crashed under crashing requests. late are crashing requests that were sent later than
 	// agreementTime after the fifth crash.
-	crashes, late int
+	crashedServers, late int
 	// sent and served are harmless requests of the first route that arrived later than twice agreementTime after the last
 	// of the first five crashes. harmless are all harmless requests, lost those that were not served, and held those that
 	// were held.
@@ -19,7 +19,7 @@
 }
 
 func (t *partTotals) add(other partTotals) {
-	t.crashes += other.crashes
+	t.crashedServers += other.crashedServers
 	t.late += other.late
 	t.sent += other.sent
 	t.served += other.served
@@ -296,7 +296,7 @@
 	var sum partTotals
 	settled := start.Add(partStart)
 	for cause, crashes := range s.crashes {
-		sum.crashes += len(crashes)
+		sum.crashedServers += len(crashes)
 		last := crashes[min(len(crashes), 5)-1]
 		if last.After(settled) {
 			settled = last
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -240,7 +240,7 @@
 	for i := range update.Items {
 		item := &update.Items[i]
 		added := Item{Digest: item.Digest, Kind: item.Kind}
-		for _, report := range slices.Concat(b.mergeCleared(now, item), item.Crashes) {
+		for _, report := range slices.Concat(b.clear(now, item), item.Crashes) {
 			if b.mergeCrash(now, item, report) {
 				added.Crashes = append(added.Crashes, report)
 			}
@@ -283,8 +283,8 @@
 	return true, now.Sub(r.clearedAt)
 }
 
-// mergeCleared merges the end of the last successful run, and returns the crashes that no longer count.
-func (b *Book) mergeCleared(now time.Time, item *Item) []Told {
+// clear merges the end of the last successful run into the record, and returns the crashes that no longer count.
+func (b *Book) clear(now time.Time, item *Item) []Told {
 	rec, at := b.records[item.Digest], item.clearedAt(now)
 	if rec == nil || !at.After(rec.clearedAt) {
 		return nil
