--- a/brittle/slots.go
+++ b/brittle/slots.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	// lostSlotsSpan is how long it takes until all slots of an instance are given out again that were never given back.
-	lostSlotsSpan = 30 * time.Second
-	// leastSlotsPerSecond is the least rate of that: an instance that bears no refusal is tried again from time to time.
-	leastSlotsPerSecond = 0.05
+	// slotRecoveryTime is how long it takes until all slots of an instance are granted again that were never returned.
+	slotRecoveryTime = 30 * time.Second
+	// minSlotsPerSecond is the minimum rate of this recovery: an instance that tolerates no refusals is retried occasionally.
+	minSlotsPerSecond = 0.05
 )
 
-// SlotLimit returns the slots of an instance as a limit of which a request takes a unit, and gives it back at its end. A
-// request that is turned away keeps it. What is not given back returns at a rate that causes few refusals. Slots are
-// counted so only where there are more daemons: else each has some of its own by what Admit decides, and asks nobody.
+// SlotLimit returns the slots of an instance as a limit. A request takes one unit and returns it at its end; a refused
+// request does not return it. Units that are not returned recover at a rate that causes few refusals. Slots are counted in
+// this way only if there are more daemons than slots. Otherwise Admit gives each daemon slots of its own, without requests
+// to other daemons.
 func (b *Book) SlotLimit(name string, slots, daemons int) (limit quota.Limit, counted bool) {
-	known := b.services[name]
-	if known == nil || slots <= 0 || daemons <= slots {
+	svc := b.services[name]
+	if svc == nil || slots <= 0 || daemons <= slots {
 		return quota.Limit{}, false
 	}
-	perSecond := min(float64(slots)/lostSlotsSpan.Seconds(), refusedPart*known.refusals/refusalSpan.Seconds())
-	return quota.Limit{PerSecond: max(perSecond, leastSlotsPerSecond), Burst: float64(slots - 1), Slots: true}, true
+	perSecond := min(float64(slots)/slotRecoveryTime.Seconds(), maxRefusalShare*svc.refusals/refusalWindow.Seconds())
+	return quota.Limit{PerSecond: max(perSecond, minSlotsPerSecond), Burst: float64(slots - 1), Slots: true}, true
 }
--- a/brittle/update.go
+++ b/brittle/update.go
@@ -2,54 +2,56 @@
 
 import "time"
 
-// Update is what one daemon tells others of services whose instances say that they are brittle, or no longer.
+// Update carries the state of services from one daemon to others: services that report that they are brittle, and those
+// that no longer do.
 type Update struct {
 	Words []Word `msgpack:"w,omitempty"`
 }
 
-// Empty reports whether there is nothing to tell.
+// Empty reports whether the update has no entries.
 func (u *Update) Empty() bool { return len(u.Words) == 0 }
 
-// Word is what the newest answer of a service said.
+// Word is the state of a service according to its latest answer.
 type Word struct {
 	Service string `msgpack:"s"`
-	// Named says that the service is brittle, and Refusals how many refusals a second an instance bears.
+	// Named is set if the service is brittle. Refusals is how many refusals a second an instance tolerates.
 	Named    bool    `msgpack:"n,omitempty"`
 	Refusals float64 `msgpack:"r,omitempty"`
-	// Age is how long ago the request was sent whose answer said so.
+	// Age is how long ago the request was sent whose answer reported this state.
 	Age time.Duration `msgpack:"a"`
 }
 
-// Newest returns what others may lack.
+// Newest returns the state of all brittle services, for daemons that may lack it.
 func (b *Book) Newest(now time.Time) Update {
 	var update Update
-	for name, known := range b.services {
-		update.Words = append(update.Words, Word{Service: name, Named: true, Refusals: known.refusals, Age: now.Sub(known.heardAt)})
+	for name, svc := range b.services {
+		update.Words = append(update.Words, Word{Service: name, Named: true, Refusals: svc.refusals, Age: now.Sub(svc.lastReportAt)})
 	}
 	return update
 }
 
-// Learn takes in what another daemon was told. Words that are as old as what is known here say nothing: they go round.
-func (b *Book) Learn(now time.Time, word Word) Change {
-	saidAt := now.Add(-word.Age)
-	known := b.services[word.Service]
+// Learn merges a report that another daemon received. Reports that are not newer than the known state are ignored, since
+// daemons forward them to each other.
+func (b *Book) Learn(now time.Time, report Word) Change {
+	reportedAt := now.Add(-report.Age)
+	svc := b.services[report.Service]
 	switch {
-	case word.Age < 0 || word.Age > silentSpan || word.Refusals < 0:
+	case report.Age < 0 || report.Age > serviceTTL || report.Refusals < 0:
 		return Nothing
-	case !word.Named:
-		return b.Hear(now, word.Service, saidAt, false, 0)
-	case !saidAt.After(b.endedAt[word.Service]):
+	case !report.Named:
+		return b.Hear(now, report.Service, reportedAt, false, 0)
+	case !reportedAt.After(b.endedAt[report.Service]):
 		return Nothing
-	case known == nil:
-		b.services[word.Service] = &service{refusals: word.Refusals, learnedAt: now, heardAt: saidAt, paidAt: map[string]time.Time{}}
+	case svc == nil:
+		b.services[report.Service] = &service{refusals: report.Refusals, firstReportAt: now, lastReportAt: reportedAt, shareUsedUntil: map[string]time.Time{}}
 		return Begins
-	case !saidAt.After(known.heardAt):
+	case !reportedAt.After(svc.lastReportAt):
 		return Nothing
 	}
-	known.heardAt = saidAt
-	if known.refusals == word.Refusals {
+	svc.lastReportAt = reportedAt
+	if svc.refusals == report.Refusals {
 		return Nothing
 	}
-	known.refusals = word.Refusals
+	svc.refusals = report.Refusals
 	return Begins
 }
