--- a/brittle/slots.go
+++ b/brittle/slots.go
@@ -9,7 +9,8 @@
 const (
 	// slotRecoveryTime is how long it takes until all slots of an instance are granted again that were never returned.
 	slotRecoveryTime = 30 * time.Second
-	// minSlotsPerSecond is the minimum rate of this recovery: an instance that tolerates no refusals is retried occasionally.
+	// minSlotsPerSecond is the minimum rate of this recovery: an instance that tolerates no refusals is retried
+	// occasionally.
 	minSlotsPerSecond = 0.05
 )
 
--- a/brittle/tracker.go
+++ b/brittle/tracker.go
@@ -40,8 +40,8 @@
 	// firstReportAt is the time of the first report that the service is brittle, lastReportAt that of the last one.
 	firstReportAt time.Time
 	lastReportAt  time.Time
-	// shareUsedUntil is until when this daemon's refusals use up its share of the refusals of an instance, by the instance's
-	// ID.
+	// shareUsedUntil is until when this daemon's refusals use up its share of the refusals of an instance, by the
+	// instance's ID.
 	shareUsedUntil map[string]time.Time
 }
 
@@ -117,13 +117,13 @@
 		return
 	}
 	from := now
-	if usedUntil := svc.shareUsedUntil[id]; usedUntil.After(now) {
-		from = usedUntil
+	if shareUsedUntil := svc.shareUsedUntil[id]; shareUsedUntil.After(now) {
+		from = shareUsedUntil
 	}
 	// A service that tolerates no refusals gets the longest backoff.
 	cost := maxBackoff
-	if share := svc.refusalShare(daemons); share > 0 {
-		cost = min(time.Duration(float64(refusalWindow)/share), maxBackoff)
+	if refusalShare := svc.refusalShare(daemons); refusalShare > 0 {
+		cost = min(time.Duration(float64(refusalWindow)/refusalShare), maxBackoff)
 	}
 	svc.shareUsedUntil[id] = minTime(from.Add(cost), now.Add(maxBackoff))
 }
@@ -136,8 +136,8 @@
 // shareUsed reports whether this daemon has used up its share of the refusals of an instance.
 func (s *service) shareUsed(now time.Time, id string, daemons int) bool {
 	allowance := time.Duration(0)
-	if share := s.refusalShare(daemons); share > 1 {
-		allowance = refusalWindow - time.Duration(float64(refusalWindow)/share)
+	if refusalShare := s.refusalShare(daemons); refusalShare > 1 {
+		allowance = refusalWindow - time.Duration(float64(refusalWindow)/refusalShare)
 	}
 	return s.shareUsedUntil[id].Sub(now) > allowance
 }
@@ -163,8 +163,8 @@
 			delete(b.services, name)
 			continue
 		}
-		for id, usedUntil := range svc.shareUsedUntil {
-			if !listed(id) || !usedUntil.After(now) {
+		for id, shareUsedUntil := range svc.shareUsedUntil {
+			if !listed(id) || !shareUsedUntil.After(now) {
 				delete(svc.shareUsedUntil, id)
 			}
 		}
--- a/brittle/tracker_test.go
+++ b/brittle/tracker_test.go
@@ -123,7 +123,8 @@
 	reportDelay, work time.Duration
 	// overload is the offered load as a multiple of the capacity of the instance.
 	overload float64
-	// counted is set if one daemon counts the requests of all. Otherwise each daemon decides by the loads that it has received.
+	// counted is set if one daemon counts the requests of all. Otherwise each daemon decides by the loads that it has
+	// received.
 	counted bool
 }
 
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -25,7 +25,7 @@
 	// clearedRetention is how long a record is kept without any crash that counts. It covers the time in which other
 	// daemons may still report one of its crashes.
 	clearedRetention = time.Minute
-	// maxRecords limits the memory for contents and parts to about 2 MB. A crash adds up to 64 contents, and about as many
+	// maxRecords limits the records of contents and parts, to about 2 MB. A crash adds up to 64 contents, and about as many
 	// parts that no answer has cleared.
 	maxRecords = 8192
 	// durableCrashCount is the number of crashes from which the evidence against a content is kept in the store, so that
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -133,7 +133,8 @@
 	}
 }
 
-// TestHoldingEnds covers the time after a hold has expired: the content may run again, and one further crash holds it again.
+// TestHoldingEnds covers the time after a hold has expired: the content may run again, and one further crash holds it
+// again.
 func TestHoldingEnds(t *testing.T) {
 	book := NewBook()
 	crashInSequence(book, start, 3, "a")
