--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -176,15 +176,15 @@
 
 // Crashed records the contents that this daemon was running on a server when it crashed.
 func (b *Book) Crashed(now, at time.Time, server string, victims []Victim) Change {
-	return b.recordCrash(now, at, server, victims, false)
+	return b.addCrash(now, at, server, victims, false)
 }
 
 // UnconfirmedCrash records the contents that this daemon was running on a server that closes new connections.
 func (b *Book) UnconfirmedCrash(now, at time.Time, server string, victims []Victim) Change {
-	return b.recordCrash(now, at, server, victims, true)
+	return b.addCrash(now, at, server, victims, true)
 }
 
-func (b *Book) recordCrash(now, at time.Time, server string, victims []Victim, unconfirmed bool) Change {
+func (b *Book) addCrash(now, at time.Time, server string, victims []Victim, unconfirmed bool) Change {
 	var update Update
 	left := maxPartsPerCrash
 	for _, victim := range latestStartFirst(victims) {
