--- a/pace/doc.go
+++ b/pace/doc.go
@@ -1,7 +1,8 @@
-// Package pace estimates how fast instances work, compared with the typical instance of their service.
+// Package pace estimates the speed of instances relative to the typical instance of their service.
 //
-// Daemons take samples: the time between two events of a stream, with the instance and the model. Models differ in
-// speed by themselves, so the logarithm of a sample is taken for the sum of a part of the model and a part of the
-// instance, and both are estimated together (Book). Daemons share samples, merged by instance and model (Batch), and
-// factors (Sharer). The package does no input or output and reads no clock.
+// Daemons sample the gap between two events of a stream, with its instance and its model. Models differ in speed too,
+// so the logarithm of a sample is modelled as the sum of a model effect and an instance effect. Book estimates both
+// together. Daemons share samples, merged by instance and model (Batch), and estimated factors (Sharer). The pace of an
+// instance is its factor: the time its work takes, as a multiple of the typical time. The package does no input or
+// output and reads no clock.
 package pace
--- a/pace/entry.go
+++ b/pace/entry.go
@@ -6,60 +6,61 @@
 )
 
 const (
-	// longestSample is the longest time between two events that is used as a sample. Longer ones are of streams that
-	// have stalled.
-	longestSample = 2 * time.Second
-	// shortestSample is the least value that the mean of merged samples may have.
-	shortestSample = time.Microsecond
-	// mostMerged bounds the count of a merged entry: the estimate is of about windowSamples samples, so more change
-	// nothing.
-	mostMerged = 3 * windowSamples
-	// MostEntries is the most entries in an Update.
+	// maxSampleGap is the longest gap between two events that is used as a sample. Longer gaps come from stalled
+	// streams.
+	maxSampleGap = 2 * time.Second
+	// minSampleGap is the smallest valid mean of merged samples. Shorter gaps are raised to it.
+	minSampleGap = time.Microsecond
+	// maxMergedSamples bounds the count of a merged entry. The estimate rests on about windowSamples samples, so more
+	// would not change it.
+	maxMergedSamples = 3 * windowSamples
+	// MostEntries bounds the entries of an Update.
 	MostEntries = 64
 )
 
-// Sample is a usual time between two events of one stream.
+// Sample is a representative gap between two events of one stream.
 type Sample struct {
 	Instance string
 	Model    string
 	Gap      time.Duration
 }
 
-// Entry is one or more samples of an instance and a model.
+// Entry holds one or more merged samples of an instance and a model.
 type Entry struct {
 	Instance string `msgpack:"i"`
 	Model    string `msgpack:"m"`
-	// Log is the mean of the natural logarithms of the samples in seconds.
+	// Log is the mean of the natural logarithms of the gaps in seconds.
 	Log float32 `msgpack:"l"`
 	// Count is the number of samples.
 	Count int `msgpack:"n"`
 }
 
-// Update is what one daemon tells another about the pace of instances.
+// Update is the message between daemons about the pace of instances.
 type Update struct {
-	// Entries are samples, MostEntries at most.
+	// Entries are samples, at most MostEntries.
 	Entries []Entry `msgpack:"e,omitempty"`
-	// Factors are what the sender has estimated, by instance, see EncodeFactor. There are MostFactors at most.
+	// Factors are the sender's estimates by instance, at most MostFactors. EncodeFactor describes the encoding.
 	Factors map[string]uint8 `msgpack:"f,omitempty"`
-	// Lacking says that nobody has told the sender factors since its start.
+	// Lacking reports that the sender has not received any factors since its start.
 	Lacking bool `msgpack:"a,omitempty"`
 }
 
-// entryOf returns a sample as an entry. Samples that are not positive, or too long, are of no use.
-func entryOf(sample Sample) (Entry, bool) {
-	if sample.Gap <= 0 || sample.Gap > longestSample || sample.Model == "" {
+// newEntry returns a sample as an entry. It reports false for a sample without a model, or with a gap that is not
+// positive or exceeds maxSampleGap.
+func newEntry(sample Sample) (Entry, bool) {
+	if sample.Gap <= 0 || sample.Gap > maxSampleGap || sample.Model == "" {
 		return Entry{}, false
 	}
-	log := math.Log(max(sample.Gap, shortestSample).Seconds())
+	log := math.Log(max(sample.Gap, minSampleGap).Seconds())
 	return Entry{Instance: sample.Instance, Model: sample.Model, Log: float32(log), Count: 1}, true
 }
 
 var (
-	leastLog = float32(math.Log(shortestSample.Seconds()))
-	mostLog  = float32(math.Log(longestSample.Seconds()))
+	minLogSeconds = float32(math.Log(minSampleGap.Seconds()))
+	maxLogSeconds = float32(math.Log(maxSampleGap.Seconds()))
 )
 
-// valid reports whether an entry can be the mean of samples. A logarithm that is not a number fails both comparisons.
+// valid reports whether an entry can be the mean of valid samples. NaN as the logarithm fails both comparisons.
 func (e *Entry) valid() bool {
-	return e.Instance != "" && e.Model != "" && e.Count > 0 && e.Log >= leastLog && e.Log <= mostLog
+	return e.Instance != "" && e.Model != "" && e.Count > 0 && e.Log >= minLogSeconds && e.Log <= maxLogSeconds
 }
--- a/pace/estimate.go
+++ b/pace/estimate.go
@@ -7,115 +7,115 @@
 )
 
 const (
-	// sweeps is the number of alternations between models and instances in one estimate. Each estimate goes on from
-	// the one before.
-	sweeps = 8
-	// settledChange is the change of all instances in a sweep, as a logarithm, below which no further one is made.
-	settledChange = 0.005
-	// typicalWeight is how many samples the assumption counts as that an instance is typical, and modelWeight the
-	// same for the assumption that a model is like the others of its service. Models differ more than instances do,
-	// so where samples don't tell them apart, the difference is taken for that of the model.
-	typicalWeight = 0.1
-	modelWeight   = 0.05
-	// trustSpan is how far from the expected one an observation counts in full, as a logarithm (1.16 times).
-	trustSpan = 0.2
-	// slowTrust is the same for an observation that is slower than expected, compared with one that is faster.
-	slowTrust = 0.25
-	// leastWeight is the weight below which an observation is dropped.
-	leastWeight = 0.01
+	// maxSweeps bounds the alternations between model and instance effects in one estimate. Each estimate starts from
+	// the result of the previous one.
+	maxSweeps = 8
+	// convergedChange ends an estimate: the largest change of an instance effect (a logarithm) in a sweep is below it.
+	convergedChange = 0.005
+	// instancePriorSamples is the weight, in samples, of the prior that an instance is typical. modelPriorSamples is the
+	// weight of the prior that a model is like the others of its service. Models differ more than instances do, so a
+	// difference that samples can't attribute to either goes to the model.
+	instancePriorSamples = 0.1
+	modelPriorSamples    = 0.05
+	// huberThreshold is the largest residual, as a logarithm, at which an observation has its full weight (1.22 times).
+	huberThreshold = 0.2
+	// slowResidualWeight is the weight of an observation that is slower than expected, relative to a faster one.
+	slowResidualWeight = 0.25
+	// minObservationWeight is the weight below which an observation is dropped.
+	minObservationWeight = 0.01
 )
 
-// snapshot holds the factors in force. It is not changed once it is published.
+// snapshot holds the factors in use. It is immutable once published.
 type snapshot struct {
 	factors map[string]float64
-	// instances are the IDs in order.
+	// instances are the sorted IDs.
 	instances []string
 }
 
-// Change is a factor that operators are told of.
+// Change is a factor to be reported to operators.
 type Change struct {
 	Instance string
 	Factor   float64
-	// Before is the factor that was told before; zero if there was none.
+	// Before is the factor that was last reported; zero if there was none.
 	Before float64
 }
 
-// Summary tells of all factors in force.
+// Summary is the number and the range of the factors in use.
 type Summary struct {
 	Count       int
 	Least, Most float64
 }
 
-// Settle estimates all factors from what was learned so far and puts them in force. It returns those that count for the
-// first time or have changed notably.
-func (b *Book) Settle() []Change {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if !b.changed {
+// Settle estimates all factors from the observations so far and publishes them. It returns those that are new, or that
+// differ from the last report by more than reportedChangeRatio.
+func (t *Book) Settle() []Change {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if !t.changed {
 		return nil
 	}
-	b.changed = false
+	t.changed = false
 	services := map[string][]*instanceState{}
-	for _, state := range b.instances {
-		state.kept = slices.DeleteFunc(state.kept, func(o observation) bool { return o.weight < leastWeight })
+	for _, state := range t.instances {
+		state.observations = slices.DeleteFunc(state.observations, func(o observation) bool { return o.weight < minObservationWeight })
 		services[state.service] = append(services[state.service], state)
 	}
 	for service, states := range services {
-		b.estimate(service, states)
+		t.estimate(service, states)
 	}
-	return b.publish()
+	return t.publish()
 }
 
-// estimate works out the effects of the instances and models of one service.
-func (b *Book) estimate(service string, states []*instanceState) {
+// estimate computes the effects of the instances and models of one service.
+func (t *Book) estimate(service string, states []*instanceState) {
 	var models []*modelState
-	for key, model := range b.models {
+	for key, model := range t.models {
 		if key.service == service {
 			models = append(models, model)
 		}
 	}
-	for range sweeps {
+	for range maxSweeps {
 		estimateModels(models, states)
-		if estimateInstances(states) < settledChange {
+		if estimateInstances(states) < convergedChange {
 			break
 		}
 	}
 	center(models, states)
 }
 
-// estimateModels works out the effects of models from those of instances.
+// estimateModels computes the effects of models from those of instances.
 func estimateModels(models []*modelState, states []*instanceState) {
-	usual, weight := 0.0, 0.0
+	mean, weight := 0.0, 0.0
 	for _, model := range models {
 		model.sum, model.weight = 0, 0
 	}
 	for _, state := range states {
-		for i := range state.kept {
-			o := &state.kept[i]
-			weight := o.weight * o.trust(state)
-			o.model.sum += weight * (o.log - state.effect)
+		for i := range state.observations {
+			o := &state.observations[i]
+			weight := o.weight * o.robustWeight(state)
+			o.model.sum += weight * (o.logSeconds - state.effect)
 			o.model.weight += weight
 		}
 	}
 	for _, model := range models {
-		usual += model.sum
+		mean += model.sum
 		weight += model.weight
 	}
-	usual /= max(weight, leastWeight)
+	mean /= max(weight, minObservationWeight)
 	for _, model := range models {
-		model.effect = (model.sum + modelWeight*usual) / (model.weight + modelWeight)
+		model.effect = (model.sum + modelPriorSamples*mean) / (model.weight + modelPriorSamples)
 	}
 }
 
-// estimateInstances works out the effects of instances from those of models, and returns the largest change.
+// estimateInstances computes the effects of instances from those of models, and returns the largest change.
 func estimateInstances(states []*instanceState) float64 {
 	largest := 0.0
 	for _, state := range states {
-		sum, weight := state.toldWeight*state.told, state.toldWeight+typicalWeight
-		for i := range state.kept {
-			o := &state.kept[i]
-			counted := o.weight * o.trust(state)
-			sum += counted * (o.log - o.model.effect)
+		sum, weight := state.receivedWeight*state.receivedEffect, state.receivedWeight+instancePriorSamples
+		for i := range state.observations {
+			o := &state.observations[i]
+			counted := o.weight * o.robustWeight(state)
+			sum += counted * (o.logSeconds - o.model.effect)
 			weight += counted
 		}
 		effect := sum / weight
@@ -125,22 +125,22 @@
 	return largest
 }
 
-// trust is the part of an observation that counts: less the further it is from what is expected (as in Huber's
-// estimator), so that slow periods of an instance change its factor little.
-func (o *observation) trust(state *instanceState) float64 {
-	over := o.log - o.model.effect - state.effect
-	trust := trustSpan / max(trustSpan, math.Abs(over))
-	if over > 0 {
-		trust *= slowTrust
-	}
-	return trust
+// robustWeight returns the factor applied to the weight of an observation, as in Huber's estimator. It falls with the
+// residual beyond huberThreshold, so that slow periods of an instance change its factor little.
+func (o *observation) robustWeight(state *instanceState) float64 {
+	residual := o.logSeconds - o.model.effect - state.effect
+	weight := huberThreshold / max(huberThreshold, math.Abs(residual))
+	if residual > 0 {
+		weight *= slowResidualWeight
+	}
+	return weight
 }
 
-// center gives the typical instance the factor 1.
+// center shifts all effects so that the median instance has the factor 1.
 func center(models []*modelState, states []*instanceState) {
 	var effects []float64
 	for _, state := range states {
-		if state.counts() {
+		if state.hasFactor() {
 			effects = append(effects, state.effect)
 		}
 	}
@@ -157,31 +157,31 @@
 	}
 }
 
-// publish puts the estimates in force.
-func (b *Book) publish() []Change {
+// publish makes the estimates available to readers and returns the changes to report.
+func (t *Book) publish() []Change {
 	var changes []Change
-	next := &snapshot{factors: make(map[string]float64, len(b.instances))}
-	for instance, state := range b.instances {
-		if !state.counts() {
+	next := &snapshot{factors: make(map[string]float64, len(t.instances))}
+	for instance, state := range t.instances {
+		if !state.hasFactor() {
 			continue
 		}
-		factor := limited(math.Exp(state.effect))
+		factor := clampFactor(math.Exp(state.effect))
 		next.factors[instance] = factor
-		if ratio := factor / state.reported; ratio > notableChange || ratio < 1/notableChange {
+		if ratio := factor / state.reported; ratio > reportedChangeRatio || ratio < 1/reportedChangeRatio {
 			changes = append(changes, Change{Instance: instance, Factor: factor, Before: state.reported})
 			state.reported = factor
 		}
 	}
 	next.instances = slices.Sorted(maps.Keys(next.factors))
-	b.known.Store(next)
+	t.published.Store(next)
 	return changes
 }
 
-// Summary tells of all factors in force.
-func (b *Book) Summary() Summary {
-	known := b.known.Load()
-	summary := Summary{Count: len(known.factors)}
-	for _, factor := range known.factors {
+// Summary returns the number and the range of the factors in use.
+func (t *Book) Summary() Summary {
+	current := t.published.Load()
+	summary := Summary{Count: len(current.factors)}
+	for _, factor := range current.factors {
 		if summary.Least == 0 {
 			summary.Least, summary.Most = factor, factor
 		}
@@ -190,19 +190,19 @@
 	return summary
 }
 
-// Factors returns at most MostFactors factors in force in the form of an Update, the next ones after an instance in the
-// order of their IDs, and the last of these. The order goes round.
-func (b *Book) Factors(after string) (factors map[string]uint8, last string) {
-	known := b.known.Load()
-	count := min(MostFactors, len(known.instances))
-	start, found := slices.BinarySearch(known.instances, after)
+// Factors returns up to MostFactors factors as encoded in an Update: those of the instances that follow after in the
+// order of IDs, which wraps around. It also returns the last of these instances.
+func (t *Book) Factors(after string) (factors map[string]uint8, last string) {
+	current := t.published.Load()
+	count := min(MostFactors, len(current.instances))
+	start, found := slices.BinarySearch(current.instances, after)
 	if found {
 		start++
 	}
 	factors = make(map[string]uint8, count)
 	for i := range count {
-		last = known.instances[(start+i)%len(known.instances)]
-		factors[last] = EncodeFactor(known.factors[last])
+		last = current.instances[(start+i)%len(current.instances)]
+		factors[last] = EncodeFactor(current.factors[last])
 	}
 	return factors, last
 }
--- a/pace/sharer.go
+++ b/pace/sharer.go
@@ -7,72 +7,74 @@
 )
 
 const (
-	// SettlePause is the least time between two estimates.
+	// SettlePause is the minimum interval between two estimates.
 	SettlePause = 500 * time.Millisecond
-	// TellPause is the least time between two messages with samples, and between two with factors.
+	// TellPause is the minimum interval between two messages with samples, and between two with factors.
 	TellPause = time.Second
 )
 
-// Place is where a daemon stands among the others. Daemons are named as the driver sends to them.
+// Place is the role of a daemon in the exchange of samples and factors. Daemons are identified by the names that the
+// caller of Tick sends messages to.
 type Place struct {
-	// Small says that all daemons tell all others, which are Others.
+	// Small means that all daemons send their samples to all others, which are Others.
 	Small bool
-	// Dispatcher is the one of this daemon's group in a large fleet; empty if there is none.
+	// Dispatcher is the dispatcher of this daemon's group in a large fleet; empty if there is none.
 	Dispatcher string
-	// Dispatching says that it is this daemon. Members are the others of the group, Others the other dispatchers.
+	// Dispatching means that this daemon is the dispatcher. Members are the other daemons of its group, and Others the
+	// dispatchers of the other groups.
 	Dispatching bool
 	Members     []string
 	Others      []string
-	// SamplePause is the time between two messages with samples, if that is more than TellPause.
+	// SamplePause replaces TellPause as the minimum interval between two messages with samples if it is longer.
 	SamplePause time.Duration
 }
 
-// Outgoing is a message to some daemons.
+// Outgoing is a message and its receivers.
 type Outgoing struct {
 	To     []string
 	Update Update
 }
 
-// Sharer decides what this daemon tells others of the pace of instances, and what it takes from them. It is safe for
-// concurrent use.
+// Sharer exchanges samples and factors with other daemons: it decides what this daemon sends, and what it accepts from
+// received messages. It is safe for concurrent use.
 type Sharer struct {
-	book *Book
+	tracker *Book
 
-	// ownMutex is held for moments only, so that the request path never waits for an estimate. Own are samples of this
-	// daemon that the book has not learned yet.
+	// ownMutex is held only briefly, so that the request path never waits for an estimate. It guards own, the samples of
+	// this daemon that are not yet recorded in the tracker.
 	ownMutex sync.Mutex
 	own      *Batch
 
 	mutex sync.Mutex
-	// pending are samples that were not told yet.
+	// pending are samples that were not sent yet.
 	pending *Batch
 	place   Place
-	// told says that this daemon has been told factors.
-	told      bool
-	settledAt time.Time
-	sentAt    time.Time
-	factorsAt time.Time
-	members   map[string]*memberState
-	// handTo is the daemon that dispatches in the place of this one, until it was told the factors.
-	handTo string
+	// factorsReceived reports whether this daemon has received factors.
+	factorsReceived bool
+	estimatedAt     time.Time
+	samplesSentAt   time.Time
+	factorsSentAt   time.Time
+	members         map[string]*memberState
+	// successor is the daemon that has replaced this one as dispatcher, until the factors were sent to it.
+	successor string
 }
 
-// memberState is what a member of the group was told.
+// memberState records the factors sent to a member of the group.
 type memberState struct {
-	// order is the number of the last message with factors to it; zero if there was none.
-	order uint64
-	// after is the last instance in it.
-	after string
+	// sequence is the number of the last message with factors to the member; zero if there was none.
+	sequence uint64
+	// lastInstance is the last instance in that message.
+	lastInstance string
 }
 
-// NewSharer returns a sharer of what a book knows.
-func NewSharer(book *Book) *Sharer {
-	return &Sharer{book: book, own: NewBatch(), pending: NewBatch(), members: map[string]*memberState{}}
+// NewSharer returns a Sharer of the samples and factors of a tracker.
+func NewSharer(tracker *Book) *Sharer {
+	return &Sharer{tracker: tracker, own: NewBatch(), pending: NewBatch(), members: map[string]*memberState{}}
 }
 
-// Sampled takes in a sample of this daemon.
+// Sampled records a sample of this daemon. It doesn't wait for an estimate.
 func (s *Sharer) Sampled(sample Sample) {
-	entry, valid := entryOf(sample)
+	entry, valid := newEntry(sample)
 	if !valid {
 		return
 	}
@@ -81,12 +83,12 @@
 	s.ownMutex.Unlock()
 }
 
-// SetPlace takes in where this daemon stands now.
+// SetPlace changes the role of this daemon.
 func (s *Sharer) SetPlace(place Place) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.place.Dispatching && !place.Dispatching {
-		s.handTo = place.Dispatcher
+		s.successor = place.Dispatcher
 	}
 	s.place = place
 	for member := range s.members {
@@ -101,92 +103,95 @@
 	}
 }
 
-// Receive takes in what another daemon tells. In a large fleet only dispatchers take samples, and pass on those of the
-// members of their group: others hear of these as factors, and must not count them again.
+// Receive merges an update of another daemon. In a large fleet only dispatchers accept samples, and forward only those
+// of the members of their group. The members receive the effect of all samples as factors, and must not count these
+// samples again.
 func (s *Sharer) Receive(now time.Time, from string, update *Update, directory Directory) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	place := &s.place
 	if len(update.Factors) > 0 {
-		s.told = true
-		s.book.Tell(update.Factors, directory, place.Dispatching)
+		s.factorsReceived = true
+		s.tracker.Tell(update.Factors, directory, place.Dispatching)
 	}
 	if !place.Small && !place.Dispatching {
 		return
 	}
-	learned := s.book.Learn(now, update.Entries[:min(len(update.Entries), MostEntries)], directory)
+	accepted := s.tracker.Learn(now, update.Entries[:min(len(update.Entries), MostEntries)], directory)
 	member := s.members[from]
 	if !place.Dispatching || member == nil {
 		return
 	}
-	for i := range learned {
-		s.pending.Add(learned[i])
+	for i := range accepted {
+		s.pending.Add(accepted[i])
 	}
 	if update.Lacking {
 		*member = memberState{}
 	}
 }
 
-// Tick does what is due: it estimates factors and returns the messages to send and the changes of factors.
+// Tick records the samples of this daemon and estimates the factors, if that is due. It returns the messages that are
+// due and the changes of factors to report.
 func (s *Sharer) Tick(now time.Time, directory Directory) (outgoing []Outgoing, changes []Change) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.learnOwn(now, directory)
-	if now.Sub(s.settledAt) >= SettlePause {
-		s.settledAt = now
-		changes = s.book.Settle()
+	s.recordOwn(now, directory)
+	if now.Sub(s.estimatedAt) >= SettlePause {
+		s.estimatedAt = now
+		changes = s.tracker.Settle()
 	}
-	outgoing = s.tellSamples(now, outgoing)
-	outgoing = s.handOver(outgoing)
-	if now.Sub(s.factorsAt) >= TellPause {
-		outgoing = s.tellFactors(now, outgoing)
+	outgoing = s.appendSamples(now, outgoing)
+	outgoing = s.appendHandover(outgoing)
+	if now.Sub(s.factorsSentAt) >= TellPause {
+		outgoing = s.appendFactors(now, outgoing)
 	}
 	return outgoing, changes
 }
 
-// tellSamples tells the samples that are pending. Without anybody to tell they are dropped: they would be old by the
-// time there is somebody.
-func (s *Sharer) tellSamples(now time.Time, outgoing []Outgoing) []Outgoing {
-	to := s.receivers()
+// appendSamples adds a message with pending samples, if one is due. Without receivers the samples are dropped, because
+// they would be outdated by the time there is a receiver.
+func (s *Sharer) appendSamples(now time.Time, outgoing []Outgoing) []Outgoing {
+	to := s.sampleReceivers()
 	switch {
 	case len(to) == 0:
-		s.pending.Take(mostPending)
+		s.pending.Take(maxBatchEntries)
 		return outgoing
-	case s.pending.Len() == 0, now.Sub(s.sentAt) < max(TellPause, s.place.SamplePause):
+	case s.pending.Len() == 0, now.Sub(s.samplesSentAt) < max(TellPause, s.place.SamplePause):
 		return outgoing
 	}
-	s.sentAt = now
-	lacking := !s.told && !s.place.Small && !s.place.Dispatching
+	s.samplesSentAt = now
+	lacking := !s.factorsReceived && !s.place.Small && !s.place.Dispatching
 	return append(outgoing, Outgoing{To: to, Update: Update{Entries: s.pending.Take(MostEntries), Lacking: lacking}})
 }
 
-// handOver has a daemon that no longer dispatches tell the next dispatcher the factors: that may have started just now.
-func (s *Sharer) handOver(outgoing []Outgoing) []Outgoing {
-	to := s.handTo
-	s.handTo = ""
+// appendHandover adds a message with factors to the daemon that has replaced this one as dispatcher. That daemon may have
+// just started, without any factors.
+func (s *Sharer) appendHandover(outgoing []Outgoing) []Outgoing {
+	to := s.successor
+	s.successor = ""
 	if to == "" {
 		return outgoing
 	}
-	factors, _ := s.book.Factors("")
+	factors, _ := s.tracker.Factors("")
 	if len(factors) == 0 {
 		return outgoing
 	}
 	return append(outgoing, Outgoing{To: []string{to}, Update: Update{Factors: factors}})
 }
 
-// learnOwn has the book learn the own samples since the last tick.
-func (s *Sharer) learnOwn(now time.Time, directory Directory) {
+// recordOwn moves this daemon's samples since the last tick to the tracker, and those accepted to the pending ones.
+func (s *Sharer) recordOwn(now time.Time, directory Directory) {
 	s.ownMutex.Lock()
-	own := s.own.Take(mostPending)
+	own := s.own.Take(maxBatchEntries)
 	s.ownMutex.Unlock()
-	learned := s.book.Learn(now, own, directory)
-	for i := range learned {
-		s.pending.Add(learned[i])
+	accepted := s.tracker.Learn(now, own, directory)
+	for i := range accepted {
+		s.pending.Add(accepted[i])
 	}
 }
 
-// receivers returns who is told samples.
-func (s *Sharer) receivers() []string {
+// sampleReceivers returns the daemons that this one sends samples to.
+func (s *Sharer) sampleReceivers() []string {
 	switch {
 	case s.place.Small, s.place.Dispatching:
 		return s.place.Others
@@ -197,32 +202,33 @@
 	}
 }
 
-// tellFactors tells one member of the group the factors, those first that were not told yet, then the one that was told
-// longest ago.
-func (s *Sharer) tellFactors(now time.Time, outgoing []Outgoing) []Outgoing {
+// appendFactors adds a message with factors to one member of the group. Members without factors come first, then the
+// one whose last message is oldest.
+func (s *Sharer) appendFactors(now time.Time, outgoing []Outgoing) []Outgoing {
 	member, newest := s.nextMember()
 	if member == "" {
 		return outgoing
 	}
 	state := s.members[member]
-	factors, last := s.book.Factors(state.after)
+	factors, last := s.tracker.Factors(state.lastInstance)
 	if len(factors) == 0 {
 		return outgoing
 	}
-	s.factorsAt = now
-	state.order, state.after = newest+1, last
+	s.factorsSentAt = now
+	state.sequence, state.lastInstance = newest+1, last
 	return append(outgoing, Outgoing{To: []string{member}, Update: Update{Factors: factors}})
 }
 
-// nextMember returns the member that was told longest ago, or never, and the newest order of all.
+// nextMember returns the member whose last message with factors is oldest or missing, and the highest sequence number of
+// all members.
 func (s *Sharer) nextMember() (next string, newest uint64) {
 	if !s.place.Dispatching {
 		return "", 0
 	}
 	for _, member := range s.place.Members {
-		order := s.members[member].order
-		newest = max(newest, order)
-		if next == "" || order < s.members[next].order {
+		sequence := s.members[member].sequence
+		newest = max(newest, sequence)
+		if next == "" || sequence < s.members[next].sequence {
 			next = member
 		}
 	}
--- a/pace/sharer_test.go
+++ b/pace/sharer_test.go
@@ -10,14 +10,14 @@
 	"github.com/wheatweir/wheatweir/pace"
 )
 
-// sampled gives a sharer samples of an instance.
-func sampled(s *pace.Sharer, instance string, gap time.Duration, count int) {
+// addSamples records count samples of an instance in a sharer.
+func addSamples(s *pace.Sharer, instance string, gap time.Duration, count int) {
 	for range count {
 		s.Sampled(pace.Sample{Instance: instance, Model: "m", Gap: gap})
 	}
 }
 
-// entriesTo counts the samples of messages to a daemon.
+// entriesTo returns the number of samples in the messages to a daemon.
 func entriesTo(outgoing []pace.Outgoing, to string) int {
 	count := 0
 	for _, message := range outgoing {
@@ -32,85 +32,87 @@
 	return count
 }
 
-// TestSamplesCountOnce guards against samples that come back to a daemon that has counted them: dispatchers pass on
-// those of their group only, and members hear factors.
+// TestSamplesCountOnce guards against samples that return to a daemon that has already counted them. Dispatchers forward
+// only samples of their own group, and members receive factors instead of samples.
 func TestSamplesCountOnce(t *testing.T) {
 	known := directory{"a": true, "b": true}
 	s := pace.NewSharer(pace.NewBook())
 	s.SetPlace(pace.Place{Dispatcher: "self", Dispatching: true, Members: []string{"member"}, Others: []string{"other"}})
-	sampled(s, "a", 10*time.Millisecond, 3)
-	s.Receive(start, "member", &pace.Update{Entries: []pace.Entry{entryOf("a", "m", 0.01, 5), entryOf("b", "m", 0.02, 7)}}, known)
-	s.Receive(start, "other", &pace.Update{Entries: []pace.Entry{entryOf("b", "m", 0.02, 11)}}, known)
+	addSamples(s, "a", 10*time.Millisecond, 3)
+	s.Receive(start, "member", &pace.Update{Entries: []pace.Entry{newEntry("a", "m", 0.01, 5), newEntry("b", "m", 0.02, 7)}}, known)
+	s.Receive(start, "other", &pace.Update{Entries: []pace.Entry{newEntry("b", "m", 0.02, 11)}}, known)
 	outgoing, _ := s.Tick(start.Add(time.Second), known)
 	if got := entriesTo(outgoing, "other"); got != 3+5+7 {
-		t.Errorf("the other dispatcher hears of %d samples, want those of this group", got)
+		t.Errorf("the other dispatcher receives %d samples, want those of this group", got)
 	}
 	if got := entriesTo(outgoing, "member"); got != 0 {
-		t.Errorf("a member hears of %d samples", got)
+		t.Errorf("a member receives %d samples", got)
 	}
 	outgoing, _ = s.Tick(start.Add(3*time.Second), known)
 	if got := entriesTo(outgoing, "other"); got != 0 {
-		t.Errorf("%d samples are told twice", got)
+		t.Errorf("%d samples are sent twice", got)
 	}
 }
 
-// TestMembersTakeNoSamples guards against samples of others at a member, which is told factors that hold them.
+// TestMembersTakeNoSamples guards against a member that records samples of other daemons. The factors that it receives
+// already include them.
 func TestMembersTakeNoSamples(t *testing.T) {
-	known, book := directory{"a": true}, pace.NewBook()
-	s := pace.NewSharer(book)
+	known, tracker := directory{"a": true}, pace.NewBook()
+	s := pace.NewSharer(tracker)
 	s.SetPlace(pace.Place{Dispatcher: "d"})
-	s.Receive(start, "x", &pace.Update{Entries: []pace.Entry{entryOf("a", "m", 0.01, 20)}}, known)
-	if s.Tick(start, known); book.Summary().Count != 0 {
-		t.Errorf("%+v", book.Summary())
+	s.Receive(start, "x", &pace.Update{Entries: []pace.Entry{newEntry("a", "m", 0.01, 20)}}, known)
+	if s.Tick(start, known); tracker.Summary().Count != 0 {
+		t.Errorf("%+v", tracker.Summary())
 	}
 }
 
-// TestToldFactorReplacesOwnSamples guards against own samples that count beside a factor that holds them, and against a
-// told factor that no sample changes any more.
+// TestToldFactorReplacesOwnSamples guards against own samples that count in addition to a received factor that already
+// includes them, and against a received factor that later samples don't change.
 func TestToldFactorReplacesOwnSamples(t *testing.T) {
-	known, book := directory{"a": true, "b": true, "c": true}, pace.NewBook()
-	learn := func(at time.Time, slow float64) {
-		book.Learn(at, []pace.Entry{entryOf("a", "m", slow, 20), entryOf("b", "m", 0.01, 20), entryOf("c", "m", 0.01, 20)}, known)
+	known, tracker := directory{"a": true, "b": true, "c": true}, pace.NewBook()
+	record := func(at time.Time, gap float64) {
+		tracker.Learn(at, []pace.Entry{newEntry("a", "m", gap, 20), newEntry("b", "m", 0.01, 20), newEntry("c", "m", 0.01, 20)}, known)
 	}
-	learn(start, 0.04)
+	record(start, 0.04)
 	code := pace.EncodeFactor(2)
-	book.Tell(map[string]uint8{"a": code, "b": pace.EncodeFactor(1), "c": pace.EncodeFactor(1), "gone": code}, known, false)
-	book.Settle()
-	if got := book.Slowness("a"); math.Abs(got-2) > 0.25 {
-		t.Errorf("factor %.2f after 2 was told", got)
+	tracker.Tell(map[string]uint8{"a": code, "b": pace.EncodeFactor(1), "c": pace.EncodeFactor(1), "gone": code}, known, false)
+	tracker.Settle()
+	if got := tracker.Slowness("a"); math.Abs(got-2) > 0.25 {
+		t.Errorf("factor %.2f after 2 was received", got)
 	}
 	for second := range 40 {
-		learn(start.Add(time.Duration(second)*time.Second), 0.03)
-		book.Settle()
+		record(start.Add(time.Duration(second)*time.Second), 0.03)
+		tracker.Settle()
 	}
-	if got := book.Slowness("a"); math.Abs(got-3) > 0.3 {
+	if got := tracker.Slowness("a"); math.Abs(got-3) > 0.3 {
 		t.Errorf("factor %.2f after many samples of 3", got)
 	}
-	book.Tell(map[string]uint8{"a": 0}, known, false)
-	book.Settle()
-	if got := book.Slowness("a"); math.Abs(got-3) > 0.3 || book.Summary().Count != 3 {
-		t.Errorf("factor %.2f after a code that stands for none, %+v", got, book.Summary())
+	tracker.Tell(map[string]uint8{"a": 0}, known, false)
+	tracker.Settle()
+	if got := tracker.Slowness("a"); math.Abs(got-3) > 0.3 || tracker.Summary().Count != 3 {
+		t.Errorf("factor %.2f after the code for no factor, %+v", got, tracker.Summary())
 	}
 }
 
-// TestUpdatesAreBounded guards against messages with more than their share, sent or received.
+// TestUpdatesAreBounded guards against messages with more than MostEntries entries or MostFactors factors, sent or
+// received.
 func TestUpdatesAreBounded(t *testing.T) {
-	known, book := directory{}, pace.NewBook()
-	s := pace.NewSharer(book)
+	known, tracker := directory{}, pace.NewBook()
+	s := pace.NewSharer(tracker)
 	s.SetPlace(pace.Place{Small: true, Others: []string{"other"}})
 	var received pace.Update
 	for i := range 3 * pace.MostFactors {
 		id := fmt.Sprintf("i%04d", i)
 		known[id] = true
-		sampled(s, id, 10*time.Millisecond, 4)
-		received.Entries = append(received.Entries, entryOf(id, "m", 0.01, 4))
+		addSamples(s, id, 10*time.Millisecond, 4)
+		received.Entries = append(received.Entries, newEntry(id, "m", 0.01, 4))
 	}
 	other := pace.NewBook()
 	sharer := pace.NewSharer(other)
 	sharer.SetPlace(pace.Place{Small: true})
 	sharer.Receive(start, "x", &received, known)
 	if sharer.Tick(start, known); other.Summary().Count != pace.MostEntries {
-		t.Errorf("%d entries of %d are taken from a message", other.Summary().Count, len(received.Entries))
+		t.Errorf("%d entries of %d are accepted from a message", other.Summary().Count, len(received.Entries))
 	}
 	sent := 0
 	for tick := range 100 {
@@ -125,25 +127,25 @@
 	if sent > 10 {
 		t.Errorf("%d messages in ten seconds", sent)
 	}
-	first, last := book.Factors("")
-	second, _ := book.Factors(last)
+	first, last := tracker.Factors("")
+	second, _ := tracker.Factors(last)
 	if len(first) != pace.MostFactors || len(second) != pace.MostFactors {
 		t.Errorf("%d and %d factors", len(first), len(second))
 	}
 	for id := range second {
 		if first[id] != 0 {
-			t.Fatalf("%s is told twice", id)
+			t.Fatalf("%s is returned twice", id)
 		}
 	}
 }
 
-// TestBadSamplesAreDropped guards against samples that say nothing of pace.
+// TestBadSamplesAreDropped guards against samples without a model or with a gap out of range.
 func TestBadSamplesAreDropped(t *testing.T) {
 	known := directory{"a": true}
 	s := pace.NewSharer(pace.NewBook())
 	s.SetPlace(pace.Place{Small: true, Others: []string{"other"}})
 	for _, gap := range []time.Duration{0, -time.Second, 2*time.Second + 1} {
-		sampled(s, "a", gap, 1)
+		addSamples(s, "a", gap, 1)
 	}
 	s.Sampled(pace.Sample{Instance: "a", Gap: time.Millisecond})
 	if outgoing, _ := s.Tick(start, known); len(outgoing) > 0 {
@@ -151,22 +153,22 @@
 	}
 }
 
-// TestConcurrentUse guards, with the race detector, against the request path, messages and the estimate getting into each
-// other's way.
+// TestConcurrentUse guards against data races between the request path, received messages and the estimate. It needs the
+// race detector.
 func TestConcurrentUse(t *testing.T) {
-	known, book := directory{"a": true, "b": true}, pace.NewBook()
-	s := pace.NewSharer(book)
-	update := pace.Update{Entries: []pace.Entry{entryOf("b", "m", 0.02, 2)}, Factors: map[string]uint8{"a": 128}}
+	known, tracker := directory{"a": true, "b": true}, pace.NewBook()
+	s := pace.NewSharer(tracker)
+	update := pace.Update{Entries: []pace.Entry{newEntry("b", "m", 0.02, 2)}, Factors: map[string]uint8{"a": 128}}
 	const rounds = 200
 	place := pace.Place{Dispatching: true, Members: []string{"member"}, Others: []string{"other"}}
 	s.SetPlace(place)
 	uses := []func(now time.Time){
-		func(time.Time) { sampled(s, "a", 10*time.Millisecond, 1) },
+		func(time.Time) { addSamples(s, "a", 10*time.Millisecond, 1) },
 		func(now time.Time) { s.Receive(now, "member", &update, known) },
 		func(now time.Time) { s.Tick(now, known) },
 		func(time.Time) { s.SetPlace(place) },
-		func(time.Time) { book.Forget(func(string) bool { return true }) },
-		func(time.Time) { book.Slowness("a"); book.Summary(); book.Factors("") },
+		func(time.Time) { tracker.Forget(func(string) bool { return true }) },
+		func(time.Time) { tracker.Slowness("a"); tracker.Summary(); tracker.Factors("") },
 	}
 	var group sync.WaitGroup
 	for _, use := range uses {
@@ -177,7 +179,7 @@
 		})
 	}
 	group.Wait()
-	if s.Tick(start.Add(time.Hour), known); book.Summary().Count != 2 {
-		t.Errorf("%+v", book.Summary())
+	if s.Tick(start.Add(time.Hour), known); tracker.Summary().Count != 2 {
+		t.Errorf("%+v", tracker.Summary())
 	}
 }
