--- a/balance/backoff.go
+++ b/balance/backoff.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// backoffMemory is how long after the end of a pause the next one counts as a further
+// backoffResetAfter is how long after the end of a pause the next one counts as a further
 // one, and is twice as long.
-const backoffMemory = 3 * time.Second
+const backoffResetAfter = 3 * time.Second
 
 // backoff is a pause that becomes longer each time that its cause comes back soon.
 type backoff struct {
@@ -20,7 +20,7 @@
 	if b.active(now) {
 		return
 	}
-	if now.Sub(b.until) > backoffMemory {
+	if now.Sub(b.until) > backoffResetAfter {
 		b.rounds = 0
 	}
 	pause := base
--- a/balance/deltas.go
+++ b/balance/deltas.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// wholeEvery is the time between two messages with all loads: one with changes may have
+// fullUpdateInterval is the time between two messages with all loads: one with changes may have
 // been lost. It is far below the time for which the numbers of another daemon count.
-const wholeEvery = time.Second
+const fullUpdateInterval = time.Second
 
 // LoadDeltas works out what to tell other daemons about loads: all of them from time to
 // time, in between only what has changed.
 type LoadDeltas struct {
 	receivers string
-	told      map[string]Load
-	wholeAt   time.Time
+	sent      map[string]Load
+	fullSentAt   time.Time
 }
 
 // Due reports whether all loads have to be told again.
-func (t *LoadDeltas) Due(now time.Time) bool { return now.Sub(t.wholeAt) >= wholeEvery }
+func (t *LoadDeltas) Due(now time.Time) bool { return now.Sub(t.fullSentAt) >= fullUpdateInterval }
 
 // Next returns what to tell now, and whether these are changes only. Receivers names those
 // that hear it: others than the last time are told everything. The loads must not be
 // changed afterwards.
 func (t *LoadDeltas) Next(now time.Time, receivers string, loads map[string]Load) (update map[string]Load, changes bool) {
-	told := t.told
-	t.told = loads
+	told := t.sent
+	t.sent = loads
 	if receivers != t.receivers || t.Due(now) {
-		t.receivers, t.wholeAt = receivers, now
+		t.receivers, t.fullSentAt = receivers, now
 		return loads, false
 	}
-	return difference(told, loads), true
+	return changedLoads(told, loads), true
 }
 
-// difference returns the loads that are not as they were, an empty one for each that is
+// changedLoads returns the loads that are not as they were, an empty one for each that is
 // gone.
-func difference(before, after map[string]Load) map[string]Load {
+func changedLoads(before, after map[string]Load) map[string]Load {
 	changed := map[string]Load{}
 	for id, load := range after {
 		if before[id] != load {
--- a/balance/forecast.go
+++ b/balance/forecast.go
@@ -7,33 +7,33 @@
 // a service are those of its typical instance: each sample counts as the time that the typical
 // instance would have taken. It is not safe for concurrent use.
 type Forecaster struct {
-	services  map[string]*pace
-	instances map[string]*pace
+	services  map[string]*timings
+	instances map[string]*timings
 }
 
-// pace is how fast one instance, or all of a service, works.
-type pace struct {
-	// run is the time from the first token of an answer to its end, in seconds.
-	run average
-	// read is the time until the first token for each prompt token to be read, in seconds.
-	read average
-	// answer and output are the run and the expected tokens of whole answers, see Generated.
+// timings is how fast one instance, or all of a service, works.
+type timings struct {
+	// runSeconds is the time from the first token of an answer to its end, in seconds.
+	runSeconds average
+	// promptTokenSeconds is the time until the first token for each prompt token to be promptTokenSeconds, in seconds.
+	promptTokenSeconds average
+	// wholeRunSeconds and output are the run and the expected tokens of whole answers, see Generated.
 	// They are learned for services only.
-	answer average
-	output average
+	wholeRunSeconds average
+	outputTokens average
 }
 
 const (
-	// serviceWeight and instanceWeight are the weight of the newest sample in the averages of
+	// serviceSampleWeight and instanceWeight are the weight of the newest sample in the averages of
 	// a service and of one instance: about the last 50 and 10 samples count.
-	serviceWeight  = 0.02
-	instanceWeight = 0.1
-	// enoughSamples is how many samples make the average of an instance count by itself. One
+	serviceSampleWeight  = 0.02
+	instanceSampleWeight = 0.1
+	// minAverageSamples is how many samples make the average of an instance count by itself. One
 	// daemon of many sends each instance few requests.
-	enoughSamples = 8
-	// readSampleTokens is the least number of prompt tokens to be read from which the reading
+	minAverageSamples = 8
+	// minReadTokens is the least number of prompt tokens to be read from which the reading
 	// speed is learned: with fewer, a step of the batch takes longer than reading.
-	readSampleTokens = 1000
+	minReadTokens = 1000
 )
 
 // average is an exponential average that starts as the mean of its first samples.
@@ -49,7 +49,7 @@
 
 // NewForecaster returns a forecaster that has seen nothing yet.
 func NewForecaster() *Forecaster {
-	return &Forecaster{services: map[string]*pace{}, instances: map[string]*pace{}}
+	return &Forecaster{services: map[string]*timings{}, instances: map[string]*timings{}}
 }
 
 // First learns from the first token of a request: the instance that took it, with the load that
@@ -57,28 +57,28 @@
 // full batch the time says nothing about reading.
 func (f *Forecaster) First(candidate *Candidate, promptTokens int, took time.Duration) {
 	tokens := candidate.Load.PromptTokens + promptTokens
-	if candidate.Load.Requests >= candidate.Instance.Slots || tokens < readSampleTokens {
+	if candidate.Load.Requests >= candidate.Instance.Slots || tokens < minReadTokens {
 		return
 	}
-	f.learn(candidate, took.Seconds()/float64(tokens), func(p *pace) *average { return &p.read })
+	f.record(candidate, took.Seconds()/float64(tokens), func(p *timings) *average { return &p.promptTokenSeconds })
 }
 
 // Run learns how long a whole answer ran from its first token on.
 func (f *Forecaster) Run(candidate *Candidate, took time.Duration) {
-	f.learn(candidate, took.Seconds(), func(p *pace) *average { return &p.run })
+	f.record(candidate, took.Seconds(), func(p *timings) *average { return &p.runSeconds })
 }
 
-// learn adds a sample to the averages of the instance and of its service.
-func (f *Forecaster) learn(candidate *Candidate, sample float64, of func(*pace) *average) {
+// record adds a sample to the averages of the instance and of its service.
+func (f *Forecaster) record(candidate *Candidate, sample float64, of func(*timings) *average) {
 	typical := sample / boundedSlowness(candidate.Slowness)
-	of(paceOf(f.services, candidate.Instance.Service)).add(typical, serviceWeight)
-	of(paceOf(f.instances, candidate.Instance.ID)).add(sample, instanceWeight)
+	of(timingsOf(f.services, candidate.Instance.Service)).add(typical, serviceSampleWeight)
+	of(timingsOf(f.instances, candidate.Instance.ID)).add(sample, instanceSampleWeight)
 }
 
-func paceOf(paces map[string]*pace, name string) *pace {
+func timingsOf(paces map[string]*timings, name string) *timings {
 	known := paces[name]
 	if known == nil {
-		known = &pace{}
+		known = &timings{}
 		paces[name] = known
 	}
 	return known
@@ -99,8 +99,8 @@
 // nothing is known yet.
 func (f *Forecaster) FirstToken(candidate *Candidate, promptTokens int) time.Duration {
 	instance, load := candidate.Instance, candidate.Load
-	read := f.average(candidate, func(p *pace) *average { return &p.read })
-	run := f.average(candidate, func(p *pace) *average { return &p.run })
+	read := f.average(candidate, func(p *timings) *average { return &p.promptTokenSeconds })
+	run := f.average(candidate, func(p *timings) *average { return &p.runSeconds })
 	reading := read * float64(load.PromptTokens+promptTokens)
 	waiting := 0.0
 	if ahead := load.Requests + 1 - instance.Slots; ahead > 0 && instance.Slots > 0 {
@@ -111,9 +111,9 @@
 
 // average is that of the instance if there are enough samples, else that of its service at the
 // instance's slowness.
-func (f *Forecaster) average(candidate *Candidate, of func(*pace) *average) float64 {
+func (f *Forecaster) average(candidate *Candidate, of func(*timings) *average) float64 {
 	instance := candidate.Instance
-	if known := f.instances[instance.ID]; known != nil && of(known).samples >= enoughSamples {
+	if known := f.instances[instance.ID]; known != nil && of(known).samples >= minAverageSamples {
 		return of(known).value
 	}
 	if known := f.services[instance.Service]; known != nil {
--- a/balance/peers.go
+++ b/balance/peers.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	// peerExpiry is how long the numbers of another daemon count.
-	peerExpiry = 3 * time.Second
-	// peerExpiryPause is the least time between two looks for such daemons.
-	peerExpiryPause = 100 * time.Millisecond
+	// peerTTL is how long the numbers of another daemon count.
+	peerTTL = 3 * time.Second
+	// peerExpiryInterval is the least time between two looks for such daemons.
+	peerExpiryInterval = 100 * time.Millisecond
 	// avoidQuorum is how many other daemons have to avoid an instance before this one
 	// does so too. A single one may have trouble with its own links.
 	avoidQuorum = 2
@@ -36,7 +36,7 @@
 		known = make(map[string]Load, len(told))
 	}
 	for id, load := range told {
-		t.shift(id, known[id], load)
+		t.replaceInSum(id, known[id], load)
 		if load == (Load{}) {
 			delete(known, id)
 		} else {
@@ -45,7 +45,7 @@
 	}
 	t.peers[peer] = peerLoad{at: now, loads: known}
 	for _, id := range fresh {
-		t.distrust(now, id)
+		t.applyQuorumBackoff(now, id)
 	}
 }
 
@@ -61,8 +61,8 @@
 	return fresh
 }
 
-// shift replaces what one daemon counts for in the sum over all others.
-func (t *Tracker) shift(id string, before, after Load) {
+// replaceInSum replaces what one daemon counts for in the sum over all others.
+func (t *Tracker) replaceInSum(id string, before, after Load) {
 	sum := t.others[id]
 	sum.subtract(before)
 	sum.add(after)
@@ -73,43 +73,43 @@
 	}
 }
 
-// distrust leaves an instance alone for a while if several daemons get no answers from
+// applyQuorumBackoff leaves an instance alone for a while if several daemons get no answers from
 // it. Each of them sends it few requests, and would find out by itself only slowly.
-func (t *Tracker) distrust(now time.Time, id string) {
+func (t *Tracker) applyQuorumBackoff(now time.Time, id string) {
 	state := t.state(id)
 	count := t.others[id].Broken
-	if state.broken.active(now) {
+	if state.brokenBackoff.active(now) {
 		count++
 	}
 	if count >= avoidQuorum {
-		state.distrust.extend(now, distrustPause, longestDistrustPause)
+		state.quorumBackoff.extend(now, baseQuorumBackoff, maxQuorumBackoff)
 	}
 }
 
 // dropPeer forgets the load of another daemon.
 func (t *Tracker) dropPeer(peer string) {
 	for id, load := range t.peers[peer].loads {
-		t.shift(id, load, Load{})
+		t.replaceInSum(id, load, Load{})
 	}
 	delete(t.peers, peer)
 }
 
 // expirePeers forgets the load of daemons that were not heard of lately.
 func (t *Tracker) expirePeers(now time.Time) {
-	if now.Sub(t.expiredAt) < peerExpiryPause {
+	if now.Sub(t.peersExpiredAt) < peerExpiryInterval {
 		return
 	}
-	t.expiredAt = now
+	t.peersExpiredAt = now
 	for peer, load := range t.peers {
-		if now.Sub(load.at) > peerExpiry {
+		if now.Sub(load.at) > peerTTL {
 			t.dropPeer(peer)
 		}
 	}
 }
 
-// grantSpan is how long a choice made for another daemon counts here. By then the other
+// grantTTL is how long a choice made for another daemon counts here. By then the other
 // one has sent the request and told its load.
-const grantSpan = 30 * time.Millisecond
+const grantTTL = 30 * time.Millisecond
 
 type grant struct {
 	instance string
@@ -121,16 +121,16 @@
 func (t *Tracker) Grant(now time.Time, instance string, promptTokens int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.granted = append(t.granted, grant{instance: instance, load: Load{Requests: 1, PromptTokens: promptTokens}, until: now.Add(grantSpan)})
+	t.grants = append(t.grants, grant{instance: instance, load: Load{Requests: 1, PromptTokens: promptTokens}, until: now.Add(grantTTL)})
 }
 
 // expireGrants drops old grants. They stand in the order in which they end.
 func (t *Tracker) expireGrants(now time.Time) {
 	ended := 0
-	for ended < len(t.granted) && !now.Before(t.granted[ended].until) {
+	for ended < len(t.grants) && !now.Before(t.grants[ended].until) {
 		ended++
 	}
-	t.granted = t.granted[ended:]
+	t.grants = t.grants[ended:]
 }
 
 // Group returns the load of this daemon and of some others together, by instance.
--- a/balance/picker.go
+++ b/balance/picker.go
@@ -94,9 +94,9 @@
 type Picker struct {
 	tracker *Tracker
 	filters []Filter
-	// even are the scorers for candidates of about the same speed, uneven those for others.
-	even   []Scorer
-	uneven []Scorer
+	// evenScorers are the scorers for candidates of about the same speed, uneven those for others.
+	evenScorers   []Scorer
+	unevenScorers []Scorer
 }
 
 // NewPicker returns the picker with all filters and scorers.
@@ -104,8 +104,8 @@
 	return &Picker{
 		tracker: tracker,
 		filters: []Filter{NotLeaving{}, NotExcluded{}, SameSoftware{}, HasModel{}},
-		even:    []Scorer{LoadScorer{}, PromptScorer{}, ZoneScorer{}, AffinityScorer{}},
-		uneven:  []Scorer{LoadScorer{}, TimeScorer{}, ZoneScorer{}, AffinityScorer{}},
+		evenScorers:    []Scorer{LoadScorer{}, PromptScorer{}, ZoneScorer{}, AffinityScorer{}},
+		unevenScorers:  []Scorer{LoadScorer{}, TimeScorer{}, ZoneScorer{}, AffinityScorer{}},
 	}
 }
 
@@ -118,7 +118,7 @@
 		ids[i] = instance.ID
 	}
 	statuses := p.tracker.statuses(now, ids, request.Model, request.Adapter, make([]status, 0, len(ids)))
-	scorers, request := p.scoring(allowed, statuses, request)
+	scorers, request := p.scorersFor(allowed, statuses, request)
 	// All candidates share one place in memory, which the scorers make escape.
 	var candidate, best Candidate
 	bestScore := 0.0
@@ -131,7 +131,7 @@
 		candidate = Candidate{
 			Instance: instance, Load: statuses[i].load, Available: statuses[i].available, Slowness: statuses[i].slowness,
 		}
-		score := total(scorers, request, &candidate)
+		score := totalScore(scorers, request, &candidate)
 		if count == 1 || better(&candidate, score, &best, bestScore) {
 			best, bestScore = candidate, score
 		}
@@ -146,7 +146,7 @@
 
 // allowed returns the instances that all filters allow.
 func (p *Picker) allowed(instances []*fleet.Instance, request *Request) []*fleet.Instance {
-	allowed := make([]*fleet.Instance, 0, usualCandidates)
+	allowed := make([]*fleet.Instance, 0, initialCandidateCapacity)
 	for _, instance := range instances {
 		if p.Allows(request, instance) {
 			allowed = append(allowed, instance)
@@ -155,8 +155,8 @@
 	return allowed
 }
 
-// usualCandidates is how many instances room is made for at first.
-const usualCandidates = 8
+// initialCandidateCapacity is how many instances room is made for at first.
+const initialCandidateCapacity = 8
 
 func better(a *Candidate, scoreA float64, b *Candidate, scoreB float64) bool {
 	if a.Available != b.Available {
@@ -175,26 +175,26 @@
 	return true
 }
 
-// scoring returns the scorers for a choice and the request as they need it. Candidates of uneven
+// scorersFor returns the scorers for a choice and the request as they need it. Candidates of uneven
 // speed are scored by time, once it is known what a token takes.
-func (p *Picker) scoring(allowed []*fleet.Instance, statuses []status, request *Request) ([]Scorer, *Request) {
-	if !p.tracker.slownesses(allowed, statuses) {
-		return p.even, request
+func (p *Picker) scorersFor(allowed []*fleet.Instance, statuses []status, request *Request) ([]Scorer, *Request) {
+	if !p.tracker.fillSlowness(allowed, statuses) {
+		return p.evenScorers, request
 	}
-	if request.Tokens.known() {
-		return p.uneven, request
+	if request.Tokens.plausible() {
+		return p.unevenScorers, request
 	}
 	learned := p.tracker.TokenTimes(allowed[0].Service)
-	if !learned.known() {
-		return p.even, request
+	if !learned.plausible() {
+		return p.evenScorers, request
 	}
 	timed := *request
 	timed.Tokens = learned
-	return p.uneven, &timed
+	return p.unevenScorers, &timed
 }
 
-// total is the score of a candidate.
-func total(scorers []Scorer, request *Request, candidate *Candidate) float64 {
+// totalScore is the score of a candidate.
+func totalScore(scorers []Scorer, request *Request, candidate *Candidate) float64 {
 	sum := 0.0
 	for _, scorer := range scorers {
 		sum += scorer.Score(request, candidate)
--- a/balance/scorers.go
+++ b/balance/scorers.go
@@ -10,9 +10,9 @@
 	return float64(candidate.Load.Requests) / float64(max(1, candidate.Instance.Slots))
 }
 
-// promptShare is the part of an instance's memory that, as prompts still to be
+// promptMemoryShare is the part of an instance's memory that, as prompts still to be
 // read, weighs as much as a whole batch: reading holds up every other request.
-const promptShare = 1.0 / 16
+const promptMemoryShare = 1.0 / 16
 
 // PromptScorer prefers instances with few prompts still to be read.
 type PromptScorer struct{}
@@ -22,7 +22,7 @@
 	if request.MemoryTokens == 0 {
 		return 0
 	}
-	return float64(candidate.Load.PromptTokens) / (promptShare * float64(request.MemoryTokens))
+	return float64(candidate.Load.PromptTokens) / (promptMemoryShare * float64(request.MemoryTokens))
 }
 
 // ZoneScorer prefers this daemon's zone.
--- a/balance/slowness.go
+++ b/balance/slowness.go
@@ -15,10 +15,10 @@
 
 const (
 	typicalSlowness = 1.0
-	// leastSlowness and largestSlowness bound what counts. Values outside are more likely errors
+	// minSlowness and largestSlowness bound what counts. Values outside are more likely errors
 	// of measurement than speeds of servers.
-	leastSlowness   = 0.25
-	largestSlowness = 4.0
+	minSlowness   = 0.25
+	maxSlowness = 4.0
 	// unevenRatio is the least ratio of the largest to the smallest slowness of the candidates
 	// from which they count as uneven. Smaller differences may be errors of the estimates, which
 	// must not change choices.
@@ -35,16 +35,16 @@
 	if !(factor > 0) || math.IsInf(factor, 1) {
 		return typicalSlowness
 	}
-	return min(max(factor, leastSlowness), largestSlowness)
+	return min(max(factor, minSlowness), maxSlowness)
 }
 
-// slownesses notes the slowness of the candidates of a choice in their statuses, and reports
+// fillSlowness notes the slowness of the candidates of a choice in their statuses, and reports
 // whether those that may take the request are uneven.
-func (t *Tracker) slownesses(candidates []*fleet.Instance, statuses []status) (uneven bool) {
+func (t *Tracker) fillSlowness(candidates []*fleet.Instance, statuses []status) (uneven bool) {
 	if t.paces == nil {
 		return false
 	}
-	smallest, largest := largestSlowness, leastSlowness
+	smallest, largest := maxSlowness, minSlowness
 	for i, instance := range candidates {
 		if statuses[i].missing {
 			continue
--- a/balance/timescorer.go
+++ b/balance/timescorer.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// usualGap is the unit of time of a score for requests without a target gap.
-	usualGap = 500 * time.Millisecond
-	// shorterWeight is what each token counts that an answer is shorter than the mean. In full, short answers would
+	// defaultTargetGap is the unit of time of a score for requests without a target gap.
+	defaultTargetGap = 500 * time.Millisecond
+	// shortAnswerWeight is what each token counts that an answer is shorter than the mean. In full, short answers would
 	// wait longer at slow instances than they have to; without it, they would hold up long streams at fast ones.
-	shorterWeight = 0.25
+	shortAnswerWeight = 0.25
 )
 
 // TimeScorer prefers instances that read prompts sooner, and leads long answers to fast instances.
@@ -22,21 +22,21 @@
 	slowness := boundedSlowness(candidate.Slowness)
 	prompts := float64(max(0, candidate.Load.PromptTokens) + request.PromptTokens)
 	reading := prompts * slowness * request.Tokens.Read.Seconds()
-	generating := leaningTokens(request) * slowness * request.Tokens.Generate.Seconds()
+	generating := weightedOutputDeviation(request) * slowness * request.Tokens.Generate.Seconds()
 	if request.TargetGap <= 0 {
-		return (reading + generating) / usualGap.Seconds()
+		return (reading + generating) / defaultTargetGap.Seconds()
 	}
 	gap := request.TargetGap.Seconds()
 	return (reading + generating + max(0, reading-gap)) / gap
 }
 
-// leaningTokens is the part of the expected output that the choice depends on: what it has more or
+// weightedOutputDeviation is the part of the expected output that the choice depends on: what it has more or
 // less than the mean. With the whole output every answer would prefer fast instances, by up to the
 // whole difference in run time, and wait there in line for as long.
-func leaningTokens(request *Request) float64 {
+func weightedOutputDeviation(request *Request) float64 {
 	above := expectedOutput(request.OutputTokens) - float64(request.Tokens.Output)
 	if above < 0 {
-		return shorterWeight * above
+		return shortAnswerWeight * above
 	}
 	return above
 }
--- a/balance/tokentimes.go
+++ b/balance/tokentimes.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// unstatedOutputTokens is the expected length of an answer whose request states none. If none
+	// defaultOutputTokens is the expected length of an answer whose request states none. If none
 	// of a service's requests do, any value gives the same expected run time.
-	unstatedOutputTokens = 32
-	// longestTokenTime bounds the times for a token that count. A longer one is an error: no
+	defaultOutputTokens = 32
+	// maxTokenTime bounds the times for a token that count. A longer one is an error: no
 	// client waits that long for each token.
-	longestTokenTime = time.Second
+	maxTokenTime = time.Second
 )
 
 // TokenTimes is what one token takes at the typical instance of a service.
@@ -29,15 +29,15 @@
 	Output int
 }
 
-// known reports whether all values are there and plausible: they may come from another daemon.
-func (t TokenTimes) known() bool {
-	return t.Output > 0 && t.Read > 0 && t.Read <= longestTokenTime && t.Generate > 0 && t.Generate <= longestTokenTime
+// plausible reports whether all values are there and plausible: they may come from another daemon.
+func (t TokenTimes) plausible() bool {
+	return t.Output > 0 && t.Read > 0 && t.Read <= maxTokenTime && t.Generate > 0 && t.Generate <= maxTokenTime
 }
 
 // expectedOutput is the number of output tokens that a request counts for.
 func expectedOutput(stated int) float64 {
 	if stated <= 0 {
-		return unstatedOutputTokens
+		return defaultOutputTokens
 	}
 	return float64(stated)
 }
@@ -45,9 +45,9 @@
 // Generated learns what a token takes from a whole answer: the output tokens that its request
 // stated, zero if it stated none, and how long the answer ran from its first token on.
 func (f *Forecaster) Generated(candidate *Candidate, outputTokens int, took time.Duration) {
-	known := paceOf(f.services, candidate.Instance.Service)
-	known.answer.add(took.Seconds()/boundedSlowness(candidate.Slowness), serviceWeight)
-	known.output.add(expectedOutput(outputTokens), serviceWeight)
+	known := timingsOf(f.services, candidate.Instance.Service)
+	known.wholeRunSeconds.add(took.Seconds()/boundedSlowness(candidate.Slowness), serviceSampleWeight)
+	known.outputTokens.add(expectedOutput(outputTokens), serviceSampleWeight)
 }
 
 // TokenTimes returns what a token takes at the typical instance of a service. Zero means that
@@ -55,13 +55,13 @@
 // of ratios would count short answers as much as long ones.
 func (f *Forecaster) TokenTimes(service string) TokenTimes {
 	known := f.services[service]
-	if known == nil || known.read.samples < enoughSamples || known.answer.samples < enoughSamples {
+	if known == nil || known.promptTokenSeconds.samples < minAverageSamples || known.wholeRunSeconds.samples < minAverageSamples {
 		return TokenTimes{}
 	}
 	return TokenTimes{
-		Read:     time.Duration(known.read.value * float64(time.Second)),
-		Generate: time.Duration(known.answer.value / known.output.value * float64(time.Second)),
-		Output:   int(math.Round(known.output.value)),
+		Read:     time.Duration(known.promptTokenSeconds.value * float64(time.Second)),
+		Generate: time.Duration(known.wholeRunSeconds.value / known.outputTokens.value * float64(time.Second)),
+		Output:   int(math.Round(known.outputTokens.value)),
 	}
 }
 
--- a/balance/tracker.go
+++ b/balance/tracker.go
@@ -15,22 +15,22 @@
 	errorShare float64
 	samples    int
 	ejections  int
-	ejectedTo  time.Time
-	pausedTo   time.Time
-	unreached  int
-	declined   int
-	// broken is the pause after connections that ended without an answer here, distrust
+	ejectedUntil  time.Time
+	backoffUntil   time.Time
+	unreachedInARow  int
+	declinedInARow   int
+	// brokenBackoff is the pause after connections that ended without an answer here, distrust
 	// the one after several daemons had such.
-	broken   backoff
-	distrust backoff
-	// heardAt is when the instance last sent something, or was given its first
+	brokenBackoff   backoff
+	quorumBackoff backoff
+	// lastActivityAt is when the instance last sent something, or was given its first
 	// request after a rest.
-	heardAt time.Time
+	lastActivityAt time.Time
 }
 
-// stallAfter is how long an instance that works on requests may send nothing at
+// stallTimeout is how long an instance that works on requests may send nothing at
 // all before new requests avoid it: its machine may be dark, which no error tells.
-const stallAfter = 700 * time.Millisecond
+const stallTimeout = 700 * time.Millisecond
 
 // Tracker is safe for concurrent use.
 type Tracker struct {
@@ -41,11 +41,11 @@
 	// instances, and must not look at every peer for each of them.
 	others  map[string]Load
 	missing map[missingKey]time.Time
-	// granted are the choices made here for other daemons that their loads may not show
+	// grants are the choices made here for other daemons that their loads may not show
 	// yet.
-	granted []grant
-	// expiredAt is when peers were last looked through for old loads.
-	expiredAt  time.Time
+	grants []grant
+	// peersExpiredAt is when peers were last looked through for old loads.
+	peersExpiredAt  time.Time
 	forecaster *Forecaster
 	// paces is nil if all instances are typical.
 	paces Paces
@@ -67,7 +67,7 @@
 // Changed gives a signal after changes of the own load.
 func (t *Tracker) Changed() <-chan struct{} { return t.changed }
 
-func (t *Tracker) signal() {
+func (t *Tracker) notifyChanged() {
 	select {
 	case t.changed <- struct{}{}:
 	default:
@@ -89,10 +89,10 @@
 	defer t.mutex.Unlock()
 	state := t.state(id)
 	if state.own.Requests == 0 {
-		state.heardAt = time.Now()
+		state.lastActivityAt = time.Now()
 	}
 	state.own.add(Load{Requests: 1, PromptTokens: promptTokens})
-	t.signal()
+	t.notifyChanged()
 }
 
 // Heard notes that an instance sent something.
@@ -100,8 +100,8 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	state := t.state(id)
-	state.heardAt = time.Now()
-	state.declined = 0
+	state.lastActivityAt = time.Now()
+	state.declinedInARow = 0
 }
 
 // Started notes that the instance has read the prompt of a request.
@@ -109,7 +109,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.state(id).own.PromptTokens -= promptTokens
-	t.signal()
+	t.notifyChanged()
 }
 
 // First learns how long the first token of a request took, see Forecaster.
@@ -150,7 +150,7 @@
 		if state.avoided(now) {
 			load.Avoiding = 1
 		}
-		if state.broken.active(now) {
+		if state.brokenBackoff.active(now) {
 			load.Broken = 1
 		}
 		if load.Requests > 0 || load.Avoiding > 0 {
@@ -224,13 +224,13 @@
 	t.expireGrants(now)
 	for _, id := range ids {
 		state := t.state(id)
-		available := !state.avoided(now) && !state.stalled(now) && !state.distrust.active(now) && t.others[id].Avoiding < avoidQuorum
+		available := !state.avoided(now) && !state.stalled(now) && !state.quorumBackoff.active(now) && t.others[id].Avoiding < avoidQuorum
 		missing := now.Before(t.missing[missingKey{id, model, adapter}])
 		load := state.own
 		load.add(t.others[id])
-		for i := range t.granted {
-			if t.granted[i].instance == id {
-				load.add(t.granted[i].load)
+		for i := range t.grants {
+			if t.grants[i].instance == id {
+				load.add(t.grants[i].load)
 			}
 		}
 		into = append(into, status{load: load, available: available, missing: missing})
--- a/pace/estimate.go
+++ b/pace/estimate.go
@@ -129,11 +129,11 @@
 // residual beyond huberThreshold, so that slow periods of an instance change its factor little.
 func (o *observation) robustWeight(state *instanceState) float64 {
 	residual := o.logSeconds - o.model.effect - state.effect
-	weight := huberThreshold / max(huberThreshold, math.Abs(residual))
+	robustWeight := huberThreshold / max(huberThreshold, math.Abs(residual))
 	if residual > 0 {
-		weight *= slowResidualWeight
+		robustWeight *= slowResidualWeight
 	}
-	return weight
+	return robustWeight
 }
 
 // center shifts all effects so that the median instance has the factor 1.
@@ -179,9 +179,9 @@
 
 // Summary returns the number and the range of the factors in use.
 func (t *Book) Summary() Summary {
-	current := t.published.Load()
-	summary := Summary{Count: len(current.factors)}
-	for _, factor := range current.factors {
+	published := t.published.Load()
+	summary := Summary{Count: len(published.factors)}
+	for _, factor := range published.factors {
 		if summary.Least == 0 {
 			summary.Least, summary.Most = factor, factor
 		}
@@ -193,16 +193,16 @@
 // Factors returns up to MostFactors factors as encoded in an Update: those of the instances that follow after in the
 // order of IDs, which wraps around. It also returns the last of these instances.
 func (t *Book) Factors(after string) (factors map[string]uint8, last string) {
-	current := t.published.Load()
-	count := min(MostFactors, len(current.instances))
-	start, found := slices.BinarySearch(current.instances, after)
+	published := t.published.Load()
+	count := min(MostFactors, len(published.instances))
+	start, found := slices.BinarySearch(published.instances, after)
 	if found {
 		start++
 	}
 	factors = make(map[string]uint8, count)
 	for i := range count {
-		last = current.instances[(start+i)%len(current.instances)]
-		factors[last] = EncodeFactor(current.factors[last])
+		last = published.instances[(start+i)%len(published.instances)]
+		factors[last] = EncodeFactor(published.factors[last])
 	}
 	return factors, last
 }
--- a/pace/fleet_test.go
+++ b/pace/fleet_test.go
@@ -36,10 +36,10 @@
 func TestFactorsAreKnownInTime(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
-		name   string
-		steady bool
-		after  time.Duration
-		wrong  float64
+		name       string
+		steady     bool
+		after      time.Duration
+		wrongShare float64
 	}{
 		{"without slow periods, all", true, 5 * time.Second, 0},
 		{"with slow periods, nine of ten", false, 5 * time.Second, 0.1},
@@ -51,10 +51,10 @@
 				f := newSimFleet(seed, defaultDaemons, defaultServers, defaultModels)
 				f.steady = c.steady
 				f.run(c.after)
-				wrong := f.wrongShare(f.dispatchers(), maxErrorRatio)
-				t.Logf("seed %d: after %s %.3f of the servers are wrong at the worst dispatcher", seed, c.after, wrong)
-				if wrong > c.wrong {
-					t.Errorf("seed %d: %.3f of the servers are wrong, %.3f allowed", seed, wrong, c.wrong)
+				wrongShare := f.wrongShare(f.dispatchers(), maxErrorRatio)
+				t.Logf("seed %d: after %s %.3f of the servers are wrong at the worst dispatcher", seed, c.after, wrongShare)
+				if wrongShare > c.wrongShare {
+					t.Errorf("seed %d: %.3f of the servers are wrong, %.3f allowed", seed, wrongShare, c.wrongShare)
 				}
 			}
 		})
@@ -67,10 +67,10 @@
 func TestModelsOnFewServers(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
-		models       int
-		wrong, far   float64
-		farBy        float64
-		onOneAtLeast int
+		models          int
+		wrongShare, far float64
+		farBy           float64
+		onOneAtLeast    int
 	}{
 		{60, 0.05, 0.02, 1.5, 10},
 		{107, 0.35, 0.1, 1.5, 70},
@@ -80,13 +80,13 @@
 			f := newSimFleet(seed, defaultDaemons, defaultServers, c.models)
 			f.run(15 * time.Second)
 			dispatchers := f.dispatchers()[:1]
-			wrong, far, onOne := f.wrongShare(dispatchers, maxErrorRatio), f.wrongShare(dispatchers, c.farBy), f.modelsOnOneServer()
-			t.Logf("%d models, %d of them on one server, seed %d: %.3f of the servers are wrong by 1.25 times, %.3f by %.1f", c.models, onOne, seed, wrong, far, c.farBy)
+			wrongShare, far, onOne := f.wrongShare(dispatchers, maxErrorRatio), f.wrongShare(dispatchers, c.farBy), f.modelsOnOneServer()
+			t.Logf("%d models, %d of them on one server, seed %d: %.3f of the servers are wrong by 1.25 times, %.3f by %.1f", c.models, onOne, seed, wrongShare, far, c.farBy)
 			if onOne < c.onOneAtLeast {
 				t.Fatalf("%d models are on one server only", onOne)
 			}
-			if wrong > c.wrong || far > c.far {
-				t.Errorf("%d models, seed %d: %.3f and %.3f of the servers are wrong", c.models, seed, wrong, far)
+			if wrongShare > c.wrongShare || far > c.far {
+				t.Errorf("%d models, seed %d: %.3f and %.3f of the servers are wrong", c.models, seed, wrongShare, far)
 			}
 		}
 	}
@@ -110,8 +110,8 @@
 	for seed := range uint64(1) {
 		f := newSimFleet(seed, defaultDaemons, defaultServers, defaultModels)
 		f.run(12*time.Second + groupSize*time.Second)
-		if wrong := f.wrongShare(f.members(), maxErrorRatio); wrong > 0.05 {
-			t.Errorf("seed %d: %.3f of the servers are wrong at the worst member", seed, wrong)
+		if wrongShare := f.wrongShare(f.members(), maxErrorRatio); wrongShare > 0.05 {
+			t.Errorf("seed %d: %.3f of the servers are wrong at the worst member", seed, wrongShare)
 		}
 	}
 }
@@ -171,13 +171,13 @@
 	if !next.place.Dispatching || next.zone != lost.zone {
 		t.Fatalf("%s does not follow %s", next.name, lost.name)
 	}
-	if wrong := f.wrongShare([]*simDaemon{next}, maxErrorRatio); wrong > 0.05 {
-		t.Errorf("%.3f of the servers are wrong at a dispatcher that has just become one", wrong)
+	if wrongShare := f.wrongShare([]*simDaemon{next}, maxErrorRatio); wrongShare > 0.05 {
+		t.Errorf("%.3f of the servers are wrong at a dispatcher that has just become one", wrongShare)
 	}
 	for range 10 {
 		f.run(time.Second)
-		if wrong := f.wrongShare([]*simDaemon{next}, maxErrorRatio); wrong > 0.05 {
-			t.Errorf("%.3f of the servers are wrong while the next dispatcher collects samples", wrong)
+		if wrongShare := f.wrongShare([]*simDaemon{next}, maxErrorRatio); wrongShare > 0.05 {
+			t.Errorf("%.3f of the servers are wrong while the next dispatcher collects samples", wrongShare)
 		}
 	}
 }
@@ -194,8 +194,8 @@
 	f.assignPlaces()
 	f.run(4 * time.Second)
 	for _, d := range []*simDaemon{joined, restarted} {
-		if wrong := f.wrongShare([]*simDaemon{d}, maxErrorRatio); d.place.Dispatching || wrong > 0.05 {
-			t.Errorf("%s: %.3f of the servers are wrong, dispatching %v", d.name, wrong, d.place.Dispatching)
+		if wrongShare := f.wrongShare([]*simDaemon{d}, maxErrorRatio); d.place.Dispatching || wrongShare > 0.05 {
+			t.Errorf("%s: %.3f of the servers are wrong, dispatching %v", d.name, wrongShare, d.place.Dispatching)
 		}
 	}
 }
@@ -213,8 +213,8 @@
 		t.Fatal("the new daemon does not take over")
 	}
 	f.run(time.Second)
-	if wrong := f.wrongShare([]*simDaemon{joined}, maxErrorRatio); wrong > 0.05 {
-		t.Errorf("%.3f of the servers are wrong", wrong)
+	if wrongShare := f.wrongShare([]*simDaemon{joined}, maxErrorRatio); wrongShare > 0.05 {
+		t.Errorf("%.3f of the servers are wrong", wrongShare)
 	}
 }
 
@@ -223,8 +223,8 @@
 	t.Parallel()
 	f := newSimFleet(1, 8, 6, 4)
 	f.run(12 * time.Second)
-	if wrong := f.wrongShare(f.daemons, maxErrorRatio); wrong > 0 {
-		t.Errorf("%.3f of the servers are wrong", wrong)
+	if wrongShare := f.wrongShare(f.daemons, maxErrorRatio); wrongShare > 0 {
+		t.Errorf("%.3f of the servers are wrong", wrongShare)
 	}
 }
 
@@ -236,9 +236,9 @@
 	for _, c := range cases {
 		f := newSimFleet(1, c.daemons, c.servers, c.models)
 		f.run(span)
-		clear(f.traffic)
+		clear(f.sent)
 		for _, d := range f.daemons {
-			f.traffic[d.name] = &traffic{}
+			f.sent[d.name] = &traffic{}
 		}
 		f.run(span)
 		members, dispatchers := f.maxTraffic(f.members()), f.maxTraffic(f.dispatchers())
@@ -262,7 +262,7 @@
 func (f *simFleet) maxTraffic(daemons []*simDaemon) traffic {
 	var highest traffic
 	for _, d := range daemons {
-		sent := f.traffic[d.name]
+		sent := f.sent[d.name]
 		highest.messages = max(highest.messages, sent.messages)
 		highest.bytes = max(highest.bytes, sent.bytes)
 		highest.largest = max(highest.largest, sent.largest)
--- a/pace/simfleet_test.go
+++ b/pace/simfleet_test.go
@@ -74,7 +74,7 @@
 	steady   bool
 	even     bool
 	inFlight []delivery
-	traffic  map[string]*traffic
+	sent     map[string]*traffic
 }
 
 type delivery struct {
@@ -95,7 +95,7 @@
 // newSimFleet returns a simFleet with two models on each server. Models with low numbers are the most popular ones and
 // are on the most servers.
 func newSimFleet(seed uint64, daemons, servers, models int) *simFleet {
-	f := &simFleet{now: time.Unix(1e9, 0), random: rand.New(rand.NewPCG(seed, 1)), traffic: map[string]*traffic{}, known: map[string]bool{}, byName: map[string]*simDaemon{}}
+	f := &simFleet{now: time.Unix(1e9, 0), random: rand.New(rand.NewPCG(seed, 1)), sent: map[string]*traffic{}, known: map[string]bool{}, byName: map[string]*simDaemon{}}
 	speeds := []float64{0.7, 0.7, 1.7}
 	for i := range servers {
 		f.servers = append(f.servers, &simServer{id: fmt.Sprintf("s-%010x~m5t", i*2654435761), speed: speeds[i%len(speeds)], slowUntil: f.now, cycleStart: f.now})
@@ -150,7 +150,7 @@
 	d := &simDaemon{name: fmt.Sprint("d", number), zone: number % 3, tracker: tracker, sharer: pace.NewSharer(tracker)}
 	f.daemons = append(f.daemons, d)
 	f.byName[d.name] = d
-	f.traffic[d.name] = &traffic{}
+	f.sent[d.name] = &traffic{}
 	return d
 }
 
@@ -287,7 +287,7 @@
 		if err != nil {
 			panic(err)
 		}
-		sent := f.traffic[d.name]
+		sent := f.sent[d.name]
 		sent.largest = max(sent.largest, len(body))
 		for _, to := range message.To {
 			sent.messages++
--- a/pace/tracker.go
+++ b/pace/tracker.go
@@ -101,7 +101,7 @@
 // Slowness returns the factor of an instance: the time its work takes, as a multiple of the time at a typical instance.
 // It returns 1 if there is no factor.
 func (t *Book) Slowness(instance string) float64 {
-	if factor, known := t.published.Load().factors[instance]; known {
+	if factor, published := t.published.Load().factors[instance]; published {
 		return factor
 	}
 	return 1
@@ -200,8 +200,8 @@
 	return model
 }
 
-// totalWeight returns the sum of the weights of all observations of an instance.
-func (s *instanceState) totalWeight() float64 {
+// weight returns the sum of the weights of all observations of an instance.
+func (s *instanceState) weight() float64 {
 	weight := 0.0
 	for i := range s.observations {
 		weight += s.observations[i].weight
@@ -233,7 +233,7 @@
 
 // mergeReceived replaces the received effect and reduces the weight of the own samples, which the effect includes.
 func (s *instanceState) mergeReceived(effect float64) {
-	if own := s.totalWeight(); own > retainedOwnSamples {
+	if own := s.weight(); own > retainedOwnSamples {
 		s.scaleWeights(retainedOwnSamples / own)
 	}
 	s.receivedEffect, s.receivedWeight, s.samples = effect, receivedFactorSamples, minFactorSamples
