--- a/balance/backoff.go
+++ b/balance/backoff.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// backoffResetAfter is how long after the end of a pause the next one counts as a further
-// one, and is twice as long.
+// backoffResetAfter is the time after the end of a backoff from which the next one starts at the
+// base length again. Within it, the next one is twice as long.
 const backoffResetAfter = 3 * time.Second
 
-// backoff is a pause that becomes longer each time that its cause comes back soon.
+// backoff is a period without requests that doubles each time its cause recurs soon.
 type backoff struct {
 	until  time.Time
 	rounds int
@@ -14,8 +14,8 @@
 
 func (b *backoff) active(now time.Time) bool { return now.Before(b.until) }
 
-// extend begins a pause of the base length, twice as long for each one before it, up to
-// a limit. What happens during a pause is a part of the same trouble.
+// extend starts a backoff of the base length, doubled for each round before it, up to a limit. It
+// does nothing during a backoff, because failures in that time have the same cause.
 func (b *backoff) extend(now time.Time, base, limit time.Duration) {
 	if b.active(now) {
 		return
@@ -23,10 +23,10 @@
 	if now.Sub(b.until) > backoffResetAfter {
 		b.rounds = 0
 	}
-	pause := base
+	length := base
 	for range b.rounds {
-		pause = min(2*pause, limit)
+		length = min(2*length, limit)
 	}
-	b.until = now.Add(pause)
+	b.until = now.Add(length)
 	b.rounds++
 }
--- a/balance/filters.go
+++ b/balance/filters.go
@@ -2,13 +2,14 @@
 
 import "github.com/wheatweir/wheatweir/fleet"
 
-// NotLeaving turns away instances that are leaving.
+// NotLeaving rejects instances that are leaving.
 type NotLeaving struct{}
 
 // Allows implements Filter.
 func (NotLeaving) Allows(_ *Request, instance *fleet.Instance) bool { return !instance.Leaving }
 
-// NotExcluded turns away instances that this request was sent to or must not reach.
+// NotExcluded rejects instances that the request excludes: it was sent to them before, or must not
+// reach them.
 type NotExcluded struct{}
 
 // Allows implements Filter.
@@ -21,7 +22,8 @@
 	return true
 }
 
-// SameSoftware turns away instances of another software version than the one that began the stream.
+// SameSoftware rejects instances of another software version than the one that began the stream of
+// a pinned request.
 type SameSoftware struct{}
 
 // Allows implements Filter.
@@ -29,7 +31,7 @@
 	return !request.Pinned || instance.Software == request.Software
 }
 
-// HasModel turns away instances without the model or adapter.
+// HasModel rejects instances without the model or adapter of the request.
 type HasModel struct{}
 
 // Allows implements Filter.
--- a/balance/load.go
+++ b/balance/load.go
@@ -1,20 +1,19 @@
 package balance
 
-// Load is what one instance has to do.
+// Load is the work in progress at one instance, and what daemons report of its failures.
 type Load struct {
-	// Many of these go in each message between daemons, so their fields go without
-	// names.
+	// Each message between daemons contains many loads, so they are encoded without field names.
 	//lint:ignore U1000 the encoder looks at it
 	_msgpack struct{} `msgpack:",as_array"`
-	// Requests counts requests in progress.
+	// Requests is the number of requests in progress.
 	Requests int
-	// PromptTokens is the prompts of those that have not begun to answer.
+	// PromptTokens is the sum of the prompts of requests without a first token.
 	PromptTokens int
-	// Avoiding counts the daemons that keep requests away from the instance, because it
-	// failed or declined some.
+	// Avoiding is the number of daemons that do not send requests to the instance at the moment,
+	// because it failed or declined some.
 	Avoiding int
-	// Broken counts the daemons at which the instance lately ended a connection without
-	// an answer.
+	// Broken is the number of daemons with a recent connection that the instance ended without an
+	// answer.
 	Broken int
 }
 
--- a/balance/peers.go
+++ b/balance/peers.go
@@ -3,65 +3,66 @@
 import "time"
 
 const (
-	// peerTTL is how long the numbers of another daemon count.
+	// peerTTL is how long the loads received from another daemon count.
 	peerTTL = 3 * time.Second
-	// peerExpiryInterval is the least time between two looks for such daemons.
+	// peerExpiryInterval is the minimum time between two searches for outdated loads.
 	peerExpiryInterval = 100 * time.Millisecond
-	// avoidQuorum is how many other daemons have to avoid an instance before this one
-	// does so too. A single one may have trouble with its own links.
+	// avoidQuorum is the number of other daemons that have to avoid an instance before this one
+	// does so too. A single daemon may have a problem with its own links.
 	avoidQuorum = 2
 )
 
+// peerLoad is the load received from another daemon, by instance, and the time of the last update.
 type peerLoad struct {
 	at    time.Time
 	loads map[string]Load
 }
 
-// SetPeer takes in the load that another daemon puts on instances.
+// SetPeer replaces the load that another daemon puts on instances.
 func (t *Tracker) SetPeer(now time.Time, peer string, loads map[string]Load) {
 	t.TakePeer(now, peer, loads, false)
 }
 
-// TakePeer takes in what another daemon told of its load: all of it, or only what has
-// changed, see LoadDeltas.
-func (t *Tracker) TakePeer(now time.Time, peer string, told map[string]Load, changes bool) {
+// TakePeer merges a load update of another daemon: all of its loads, or only the changed ones, as
+// LoadDeltas returns them.
+func (t *Tracker) TakePeer(now time.Time, peer string, update map[string]Load, changes bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	fresh := newlyBroken(t.peers[peer].loads, told)
+	broken := newlyBroken(t.peers[peer].loads, update)
 	if !changes {
 		t.dropPeer(peer)
 	}
-	known := t.peers[peer].loads
-	if known == nil {
-		known = make(map[string]Load, len(told))
+	current := t.peers[peer].loads
+	if current == nil {
+		current = make(map[string]Load, len(update))
 	}
-	for id, load := range told {
-		t.replaceInSum(id, known[id], load)
+	for id, load := range update {
+		t.replaceInSum(id, current[id], load)
 		if load == (Load{}) {
-			delete(known, id)
+			delete(current, id)
 		} else {
-			known[id] = load
+			current[id] = load
 		}
 	}
-	t.peers[peer] = peerLoad{at: now, loads: known}
-	for _, id := range fresh {
-		t.applyQuorumBackoff(now, id)
+	t.peers[peer] = peerLoad{at: now, loads: current}
+	for _, id := range broken {
+		t.quorumBackoff(now, id)
 	}
 }
 
-// newlyBroken lists the instances with trouble that a daemon had not told before. What it
-// tells again is no news.
-func newlyBroken(before, told map[string]Load) []string {
-	var fresh []string
-	for id, load := range told {
+// newlyBroken returns the instances whose Broken count rises with an update. A repeated report is
+// not a new failure.
+func newlyBroken(before, update map[string]Load) []string {
+	var broken []string
+	for id, load := range update {
 		if load.Broken > before[id].Broken {
-			fresh = append(fresh, id)
+			broken = append(broken, id)
 		}
 	}
-	return fresh
+	return broken
 }
 
-// replaceInSum replaces what one daemon counts for in the sum over all others.
+// replaceInSum replaces the load of one daemon on an instance in the sum over all other daemons.
 func (t *Tracker) replaceInSum(id string, before, after Load) {
 	sum := t.others[id]
 	sum.subtract(before)
@@ -73,9 +74,9 @@
 	}
 }
 
-// applyQuorumBackoff leaves an instance alone for a while if several daemons get no answers from
-// it. Each of them sends it few requests, and would find out by itself only slowly.
-func (t *Tracker) applyQuorumBackoff(now time.Time, id string) {
+// quorumBackoff starts a backoff for an instance from which several daemons get no answers. Each of
+// them sends it few requests, and would detect the failure only slowly by itself.
+func (t *Tracker) quorumBackoff(now time.Time, id string) {
 	state := t.state(id)
 	count := t.others[id].Broken
 	if state.brokenBackoff.active(now) {
@@ -86,7 +87,7 @@
 	}
 }
 
-// dropPeer forgets the load of another daemon.
+// dropPeer removes the load of another daemon.
 func (t *Tracker) dropPeer(peer string) {
 	for id, load := range t.peers[peer].loads {
 		t.replaceInSum(id, load, Load{})
@@ -94,7 +95,7 @@
 	delete(t.peers, peer)
 }
 
-// expirePeers forgets the load of daemons that were not heard of lately.
+// expirePeers removes the loads of daemons without an update for peerTTL.
 func (t *Tracker) expirePeers(now time.Time) {
 	if now.Sub(t.peersExpiredAt) < peerExpiryInterval {
 		return
@@ -107,10 +108,11 @@
 	}
 }
 
-// grantTTL is how long a choice made for another daemon counts here. By then the other
-// one has sent the request and told its load.
+// grantTTL is how long a choice made for another daemon counts here. After that time the load
+// updates of that daemon include the request.
 const grantTTL = 30 * time.Millisecond
 
+// grant is the load of a request that this daemon has assigned to an instance for another daemon.
 type grant struct {
 	instance string
 	load     Load
@@ -124,7 +126,7 @@
 	t.grants = append(t.grants, grant{instance: instance, load: Load{Requests: 1, PromptTokens: promptTokens}, until: now.Add(grantTTL)})
 }
 
-// expireGrants drops old grants. They stand in the order in which they end.
+// expireGrants removes expired grants. They are sorted by expiry.
 func (t *Tracker) expireGrants(now time.Time) {
 	ended := 0
 	for ended < len(t.grants) && !now.Before(t.grants[ended].until) {
@@ -133,7 +135,7 @@
 	t.grants = t.grants[ended:]
 }
 
-// Group returns the load of this daemon and of some others together, by instance.
+// Group returns the sum of the loads of this daemon and of some others, by instance.
 func (t *Tracker) Group(now time.Time, peers []string) map[string]Load {
 	total := t.Own(now)
 	t.mutex.Lock()
@@ -148,7 +150,7 @@
 	return total
 }
 
-// DropPeers forgets what all other daemons told.
+// DropPeers removes the loads of all other daemons.
 func (t *Tracker) DropPeers() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/balance/scorers.go
+++ b/balance/scorers.go
@@ -2,7 +2,7 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// LoadScorer prefers instances with few requests for their slots.
+// LoadScorer prefers instances with few requests relative to their slots.
 type LoadScorer struct{}
 
 // Score implements Scorer.
@@ -10,11 +10,11 @@
 	return float64(candidate.Load.Requests) / float64(max(1, candidate.Instance.Slots))
 }
 
-// promptMemoryShare is the part of an instance's memory that, as prompts still to be
-// read, weighs as much as a whole batch: reading holds up every other request.
+// promptMemoryShare is the share of an instance's memory at which unread prompts cost as much as a
+// whole batch, because reading a prompt delays all other requests.
 const promptMemoryShare = 1.0 / 16
 
-// PromptScorer prefers instances with few prompts still to be read.
+// PromptScorer prefers instances with few prompt tokens still to be read.
 type PromptScorer struct{}
 
 // Score implements Scorer.
@@ -25,7 +25,7 @@
 	return float64(candidate.Load.PromptTokens) / (promptMemoryShare * float64(request.MemoryTokens))
 }
 
-// ZoneScorer prefers this daemon's zone.
+// ZoneScorer prefers instances in this daemon's zone.
 type ZoneScorer struct{}
 
 // Score implements Scorer.
@@ -36,11 +36,12 @@
 	return request.ZoneCost
 }
 
-// affinityWeight is what a kept prompt is worth at most.
+// affinityWeight is the largest score difference for a cached prompt.
 const affinityWeight = 0.08
 
-// AffinityScorer gives requests that share a prompt a common order of
-// instances, so that they meet where the prompt is kept, and spreads the others.
+// AffinityScorer ranks the instances by a hash of the instance and the affinity. Requests that
+// share a prompt prefer the same instances, where the prompt is cached, and other requests are
+// spread.
 type AffinityScorer struct{}
 
 // Score implements Scorer.
--- a/balance/tokentimes.go
+++ b/balance/tokentimes.go
@@ -6,35 +6,36 @@
 )
 
 const (
-	// defaultOutputTokens is the expected length of an answer whose request states none. If none
-	// of a service's requests do, any value gives the same expected run time.
+	// defaultOutputTokens is the expected length of an answer whose request states none. If no
+	// request of a service states one, any value gives the same expected run time.
 	defaultOutputTokens = 32
-	// maxTokenTime bounds the times for a token that count. A longer one is an error: no
+	// maxTokenTime is the longest plausible time for a token. A longer one is an error, because no
 	// client waits that long for each token.
 	maxTokenTime = time.Second
 )
 
-// TokenTimes is what one token takes at the typical instance of a service.
+// TokenTimes holds the time for one token at the typical instance of a service.
 type TokenTimes struct {
 	//lint:ignore U1000 the encoder looks at it
 	_msgpack struct{} `msgpack:",as_array"`
 
 	// Read is the time to read a prompt token, waiting included.
 	Read time.Duration
-	// Generate is the run time of answers for each token that their requests expected. Clients
-	// state the most that they take, so this is less than the time of a step where answers
-	// end earlier.
+	// Generate is the run time of answers for each output token that their requests expected.
+	// Clients state the maximum that they accept, so it is less than the time of a step where
+	// answers end earlier.
 	Generate time.Duration
 	// Output is the mean number of output tokens that requests expect.
 	Output int
 }
 
-// plausible reports whether all values are there and plausible: they may come from another daemon.
+// plausible reports whether all values are present and in range. They may come from another daemon.
 func (t TokenTimes) plausible() bool {
 	return t.Output > 0 && t.Read > 0 && t.Read <= maxTokenTime && t.Generate > 0 && t.Generate <= maxTokenTime
 }
 
-// expectedOutput is the number of output tokens that a request counts for.
+// expectedOutput returns the number of output tokens to expect for the number that a request
+// states.
 func expectedOutput(stated int) float64 {
 	if stated <= 0 {
 		return defaultOutputTokens
@@ -42,30 +43,30 @@
 	return float64(stated)
 }
 
-// Generated learns what a token takes from a whole answer: the output tokens that its request
-// stated, zero if it stated none, and how long the answer ran from its first token on.
+// Generated records the token time of a complete answer: the output tokens that its request stated,
+// zero if it stated none, and how long the answer ran from its first token on.
 func (f *Forecaster) Generated(candidate *Candidate, outputTokens int, took time.Duration) {
-	known := timingsOf(f.services, candidate.Instance.Service)
-	known.wholeRunSeconds.add(took.Seconds()/boundedSlowness(candidate.Slowness), serviceSampleWeight)
-	known.outputTokens.add(expectedOutput(outputTokens), serviceSampleWeight)
+	averages := timingsOf(f.services, candidate.Instance.Service)
+	averages.wholeRunSeconds.add(took.Seconds()/boundedSlowness(candidate.Slowness), serviceSampleWeight)
+	averages.expectedTokens.add(expectedOutput(outputTokens), serviceSampleWeight)
 }
 
-// TokenTimes returns what a token takes at the typical instance of a service. Zero means that
-// there are not yet enough samples. The time to generate is the ratio of two averages: an average
-// of ratios would count short answers as much as long ones.
+// TokenTimes returns the token times of a service, or the zero value if there are too few samples.
+// The time to generate is the ratio of two averages. An average of ratios would weigh short answers
+// as much as long ones.
 func (f *Forecaster) TokenTimes(service string) TokenTimes {
-	known := f.services[service]
-	if known == nil || known.promptTokenSeconds.samples < minAverageSamples || known.wholeRunSeconds.samples < minAverageSamples {
+	averages := f.services[service]
+	if averages == nil || averages.promptTokenSeconds.samples < minAverageSamples || averages.wholeRunSeconds.samples < minAverageSamples {
 		return TokenTimes{}
 	}
 	return TokenTimes{
-		Read:     time.Duration(known.promptTokenSeconds.value * float64(time.Second)),
-		Generate: time.Duration(known.wholeRunSeconds.value / known.outputTokens.value * float64(time.Second)),
-		Output:   int(math.Round(known.outputTokens.value)),
+		Read:     time.Duration(averages.promptTokenSeconds.value * float64(time.Second)),
+		Generate: time.Duration(averages.wholeRunSeconds.value / averages.expectedTokens.value * float64(time.Second)),
+		Output:   int(math.Round(averages.expectedTokens.value)),
 	}
 }
 
-// TokenTimes returns what a token takes at the typical instance of a service, see Forecaster.
+// TokenTimes returns the token times of a service, see Forecaster.TokenTimes.
 func (t *Tracker) TokenTimes(service string) TokenTimes {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/balance/tracker.go
+++ b/balance/tracker.go
@@ -1,7 +1,6 @@
-// Package balance chooses the instance that takes a request. A Tracker holds
-// what this daemon observes of the instances: requests in progress here and at
-// other daemons, outcomes, and which ones to avoid. A Picker filters and scores candidates;
-// each filter and scorer is a small type of its own.
+// Package balance chooses an instance for each request. A Tracker holds the state of the instances as
+// this daemon observes it: requests in progress here and at other daemons, outcomes, and which ones
+// to avoid. A Picker filters and scores candidates. Each filter and each scorer is a type of its own.
 package balance
 
 import (
@@ -9,54 +8,55 @@
 	"time"
 )
 
-// instanceState is what is observed of one instance.
+// instanceState is what this daemon has observed of one instance.
 type instanceState struct {
-	own        Load
-	errorShare float64
-	samples    int
-	ejections  int
-	ejectedUntil  time.Time
-	backoffUntil   time.Time
-	unreachedInARow  int
-	declinedInARow   int
-	// brokenBackoff is the pause after connections that ended without an answer here, distrust
-	// the one after several daemons had such.
-	brokenBackoff   backoff
+	own             Load
+	errorShare      float64
+	samples         int
+	ejections       int
+	ejectedUntil    time.Time
+	backoffUntil    time.Time
+	unreachedInARow int
+	declinedInARow  int
+	// brokenBackoff follows connections of this daemon that ended without an answer. quorumBackoff
+	// follows such connections of several daemons.
+	brokenBackoff backoff
 	quorumBackoff backoff
-	// lastActivityAt is when the instance last sent something, or was given its first
-	// request after a rest.
+	// lastActivityAt is the time of the last data from the instance, or of its first request after
+	// it had none.
 	lastActivityAt time.Time
 }
 
-// stallTimeout is how long an instance that works on requests may send nothing at
-// all before new requests avoid it: its machine may be dark, which no error tells.
+// stallTimeout is how long an instance with requests may send nothing before new requests avoid it.
+// Its machine may have failed without an error on the connections.
 const stallTimeout = 700 * time.Millisecond
 
-// Tracker is safe for concurrent use.
+// Tracker tracks the load and the failures of instances, from the requests of this daemon and the
+// updates of others. It is safe for concurrent use.
 type Tracker struct {
 	mutex     sync.Mutex
 	instances map[string]*instanceState
 	peers     map[string]peerLoad
-	// others is the sum of the peers' loads by instance: a choice looks at many
-	// instances, and must not look at every peer for each of them.
+	// others is the sum of the peers' loads by instance. A choice considers many instances, so
+	// adding up all peers for each of them would cost too much.
 	others  map[string]Load
 	missing map[missingKey]time.Time
-	// grants are the choices made here for other daemons that their loads may not show
+	// grants are the choices made here for other daemons whose load updates may not include them
 	// yet.
 	grants []grant
-	// peersExpiredAt is when peers were last looked through for old loads.
-	peersExpiredAt  time.Time
-	forecaster *Forecaster
-	// paces is nil if all instances are typical.
+	// peersExpiredAt is the time of the last search for outdated loads of peers.
+	peersExpiredAt time.Time
+	forecaster     *Forecaster
+	// paces is nil if all instances count as typical.
 	paces Paces
-	// changed tells that the own load has changed.
+	// changed signals changes of this daemon's own load.
 	changed chan struct{}
 }
 
-// missingKey names something that an instance turned out not to have.
+// missingKey identifies a model or adapter that an instance turned out not to have.
 type missingKey struct{ instance, model, adapter string }
 
-// NewTracker returns an empty tracker.
+// NewTracker returns a Tracker without observations.
 func NewTracker() *Tracker {
 	return &Tracker{
 		instances: map[string]*instanceState{}, peers: map[string]peerLoad{}, others: map[string]Load{}, missing: map[missingKey]time.Time{},
@@ -64,9 +64,10 @@
 	}
 }
 
-// Changed gives a signal after changes of the own load.
+// Changed returns a channel that receives a value after changes of this daemon's own load.
 func (t *Tracker) Changed() <-chan struct{} { return t.changed }
 
+// notifyChanged sends to the channel of Changed unless a value is already waiting there.
 func (t *Tracker) notifyChanged() {
 	select {
 	case t.changed <- struct{}{}:
@@ -74,6 +75,7 @@
 	}
 }
 
+// state returns the state of an instance, and creates it if there is none.
 func (t *Tracker) state(id string) *instanceState {
 	state := t.instances[id]
 	if state == nil {
@@ -95,7 +97,7 @@
 	t.notifyChanged()
 }
 
-// Heard notes that an instance sent something.
+// Heard records that an instance sent data.
 func (t *Tracker) Heard(id string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -104,7 +106,7 @@
 	state.declinedInARow = 0
 }
 
-// Started notes that the instance has read the prompt of a request.
+// Started records that the instance has read the prompt of a request.
 func (t *Tracker) Started(id string, promptTokens int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -112,35 +114,35 @@
 	t.notifyChanged()
 }
 
-// First learns how long the first token of a request took, see Forecaster.
+// First records how long the first token of a request took, see Forecaster.First.
 func (t *Tracker) First(candidate *Candidate, promptTokens int, took time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.forecaster.First(candidate, promptTokens, took)
 }
 
-// Run learns how long an answer ran from its first token on.
+// Run records how long a complete answer ran from its first token on.
 func (t *Tracker) Run(candidate *Candidate, took time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.forecaster.Run(candidate, took)
 }
 
-// Generated learns what a token takes from a whole answer, see Forecaster.
+// Generated records the token time of a complete answer, see Forecaster.Generated.
 func (t *Tracker) Generated(candidate *Candidate, outputTokens int, took time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.forecaster.Generated(candidate, outputTokens, took)
 }
 
-// FirstToken predicts how long the first token of a request takes, see Forecaster.
+// FirstToken predicts how long the first token of a request takes, see Forecaster.FirstToken.
 func (t *Tracker) FirstToken(candidate *Candidate, promptTokens int) time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.forecaster.FirstToken(candidate, promptTokens)
 }
 
-// Own returns the load from here and which instances are avoided here, by instance.
+// Own returns the load from this daemon, and which instances it avoids, by instance.
 func (t *Tracker) Own(now time.Time) map[string]Load {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -160,7 +162,7 @@
 	return loads
 }
 
-// Requests returns how many requests an instance has, as far as it is known here.
+// Requests returns the number of requests of an instance, from this daemon and its peers.
 func (t *Tracker) Requests(id string) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -171,7 +173,7 @@
 	return requests
 }
 
-// OwnRequests returns how many requests from here an instance has.
+// OwnRequests returns the number of requests of an instance from this daemon.
 func (t *Tracker) OwnRequests(id string) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -181,14 +183,16 @@
 	return 0
 }
 
-// Missing notes that an instance does not have a model or adapter after all.
+// Missing records that an instance does not have a model or adapter although it is listed with it.
+// The record expires after span.
 func (t *Tracker) Missing(now time.Time, instance, model, adapter string, span time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.missing[missingKey{instance, model, adapter}] = now.Add(span)
 }
 
-// Forget drops the state of instances that are gone.
+// Forget removes the state of instances that are not present and have no requests, and expired
+// records.
 func (t *Tracker) Forget(now time.Time, present func(id string) bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -206,17 +210,17 @@
 	t.expirePeers(now)
 }
 
-// status is what the picker needs of one instance.
+// status is the state of one instance as the picker needs it.
 type status struct {
 	load      Load
 	available bool
-	// missing says that the instance lacks what the request needs.
+	// missing means that the instance lacks the model or adapter of the request.
 	missing bool
-	// slowness is set for choices only if the tracker has paces, see slownesses.
+	// slowness is set by fillSlowness, and only if the tracker has paces.
 	slowness float64
 }
 
-// statuses looks at several instances at once.
+// statuses appends the status of each instance to a slice and returns it.
 func (t *Tracker) statuses(now time.Time, ids []string, model, adapter string, into []status) []status {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
