--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -22,10 +22,10 @@
 		prepare   func(*balance.Tracker)
 		want      string
 	}{
-		{"the only one", []*fleet.Instance{instance("x", "z")}, balance.Request{}, nil, "x"},
-		{"none", nil, balance.Request{}, nil, ""},
+		{"a single instance", []*fleet.Instance{instance("x", "z")}, balance.Request{}, nil, "x"},
+		{"no instance", nil, balance.Request{}, nil, ""},
 		{"leaving", []*fleet.Instance{{ID: "x", Leaving: true}}, balance.Request{}, nil, ""},
-		{"tried already", []*fleet.Instance{instance("x", "z")}, balance.Request{Excluded: []string{"x"}}, nil, ""},
+		{"excluded", []*fleet.Instance{instance("x", "z")}, balance.Request{Excluded: []string{"x"}}, nil, ""},
 		{"without the model", []*fleet.Instance{instance("x", "z")}, balance.Request{Model: "m"}, nil, ""},
 		{"with the model", []*fleet.Instance{instance("x", "z"), instance("y", "z", model)}, balance.Request{Model: "m"}, nil, "y"},
 		{"without the adapter", []*fleet.Instance{instance("x", "z", model)}, balance.Request{Model: "m", Adapter: "a2"}, nil, ""},
@@ -41,20 +41,20 @@
 		{"fewer prompts to read", []*fleet.Instance{instance("x", "z"), instance("y", "z")}, balance.Request{MemoryTokens: 16000}, func(t *balance.Tracker) {
 			t.SetPeer(now, "peer", map[string]balance.Load{"y": {Requests: 1, PromptTokens: 1000}, "x": {Requests: 2}})
 		}, "x"},
-		{"a peer that fell silent does not count", []*fleet.Instance{instance("x", "z"), instance("y", "z")}, balance.Request{}, func(t *balance.Tracker) {
+		{"a peer without recent updates does not count", []*fleet.Instance{instance("x", "z"), instance("y", "z")}, balance.Request{}, func(t *balance.Tracker) {
 			t.SetPeer(now.Add(-time.Minute), "peer", map[string]balance.Load{"y": {Requests: 50}})
 			t.SetPeer(now, "other", map[string]balance.Load{"x": {Requests: 5}})
 		}, "y"},
-		{"unreached a moment ago", []*fleet.Instance{instance("x", "z"), instance("y", "z")}, balance.Request{}, func(t *balance.Tracker) {
+		{"unreached just now", []*fleet.Instance{instance("x", "z"), instance("y", "z")}, balance.Request{}, func(t *balance.Tracker) {
 			t.Begin("x", 0)
 			t.End(now, "x", balance.Unreached, siblings("x", "y"))
 			t.SetPeer(now, "peer", map[string]balance.Load{"y": {Requests: 9}})
 		}, "y"},
-		{"unreached, but the only one", []*fleet.Instance{instance("x", "z")}, balance.Request{}, func(t *balance.Tracker) {
+		{"unreached, but no other instance", []*fleet.Instance{instance("x", "z")}, balance.Request{}, func(t *balance.Tracker) {
 			t.Begin("x", 0)
 			t.End(now, "x", balance.Unreached, siblings("x"))
 		}, "x"},
-		{"said that it lacks the model", []*fleet.Instance{instance("x", "z", model)}, balance.Request{Model: "m"}, func(t *balance.Tracker) {
+		{"reported to lack the model", []*fleet.Instance{instance("x", "z", model)}, balance.Request{Model: "m"}, func(t *balance.Tracker) {
 			t.Missing(now, "x", "m", "", time.Minute)
 		}, ""},
 		{"avoided by two other daemons", []*fleet.Instance{instance("x", "z"), instance("y", "z")}, balance.Request{}, func(t *balance.Tracker) {
@@ -94,8 +94,9 @@
 	return all
 }
 
-// fail ends a number of requests at an instance with an outcome.
-func fail(tracker *balance.Tracker, now time.Time, id string, outcome balance.Outcome, count int) bool {
+// endRequests begins and ends a number of requests at an instance with the same outcome. It reports
+// whether the instance was ejected.
+func endRequests(tracker *balance.Tracker, now time.Time, id string, outcome balance.Outcome, count int) bool {
 	ejected := false
 	for range count {
 		tracker.Begin(id, 0)
@@ -107,9 +108,9 @@
 func TestAnInstanceThatFailsAloneIsEjected(t *testing.T) {
 	now := time.Now()
 	tracker := balance.NewTracker()
-	fail(tracker, now, "y", balance.Served, 10)
-	fail(tracker, now, "z", balance.Served, 10)
-	if !fail(tracker, now, "x", balance.Failed, 6) {
+	endRequests(tracker, now, "y", balance.Served, 10)
+	endRequests(tracker, now, "z", balance.Served, 10)
+	if !endRequests(tracker, now, "x", balance.Failed, 6) {
 		t.Fatal("not ejected")
 	}
 	picker := balance.NewPicker(tracker)
@@ -130,15 +131,15 @@
 	tracker := balance.NewTracker()
 	for range 10 {
 		for _, id := range []string{"x", "y", "z"} {
-			if fail(tracker, now, id, balance.Failed, 1) {
+			if endRequests(tracker, now, id, balance.Failed, 1) {
 				t.Fatalf("%s is ejected", id)
 			}
 		}
 	}
 }
 
-// TestSilentInstanceIsAvoided covers a server whose machine goes dark: no error
-// tells, but nothing comes from it while it works on requests.
+// TestSilentInstanceIsAvoided guards against picking an instance whose machine has failed. Its
+// connections report no error, but nothing arrives while it has requests.
 func TestSilentInstanceIsAvoided(t *testing.T) {
 	now := time.Now()
 	tracker := balance.NewTracker()
@@ -150,7 +151,7 @@
 		t.Fatalf("picked %s", got)
 	}
 	if got := balance.NewPicker(tracker).Pick(now, group, &balance.Request{}).Instance.ID; got != "x" {
-		t.Fatalf("picked %s before it was silent for long", got)
+		t.Fatalf("picked %s before the stall timeout", got)
 	}
 }
 
@@ -168,8 +169,8 @@
 	}
 }
 
-// TestAnInstanceThatDeclinesAllIsLeftAloneLonger covers one that declines whatever it
-// gets while others answer: it looks idle, and must not draw more requests for that.
+// TestAnInstanceThatDeclinesAllIsLeftAloneLonger guards against an instance that declines all
+// requests while others answer. It looks idle, and must not attract more requests because of that.
 func TestAnInstanceThatDeclinesAllIsLeftAloneLonger(t *testing.T) {
 	tracker, now := balance.NewTracker(), time.Now()
 	declined := 0
@@ -186,43 +187,44 @@
 		now = now.Add(50 * time.Millisecond)
 	}
 	if declined > 8 {
-		t.Errorf("%d of 200 requests in ten seconds went to an instance that declines all", declined)
+		t.Errorf("%d of 200 requests in ten seconds went to an instance that declines all requests", declined)
 	}
 	if own := tracker.Own(now)["x"]; own.Avoiding != 1 {
-		t.Errorf("the doubt is not told: %+v", own)
+		t.Errorf("the backoff is not reported: %+v", own)
 	}
 }
 
-// TestAnInstanceWithoutAnswersIsLeftAlone covers a server that takes connections and
-// resets them: the first one is enough to keep the next requests away for a while, and
-// for longer if it goes on.
+// TestAnInstanceWithoutAnswersIsLeftAlone guards against picking an instance that accepts
+// connections and resets them. The first reset starts a backoff, and further ones start longer
+// backoffs.
 func TestAnInstanceWithoutAnswersIsLeftAlone(t *testing.T) {
 	now := time.Now()
 	tracker := balance.NewTracker()
 	group := []*fleet.Instance{instance("x", ""), instance("y", "")}
-	picks := func(at time.Time) string {
+	pickAt := func(at time.Time) string {
 		tracker.SetPeer(at, "peer", map[string]balance.Load{"y": {Requests: 9}})
 		return balance.NewPicker(tracker).Pick(at, group, &balance.Request{}).Instance.ID
 	}
-	fail(tracker, now, "x", balance.Broken, 2)
-	if picks(now.Add(250*time.Millisecond)) == "x" {
+	endRequests(tracker, now, "x", balance.Broken, 2)
+	if pickAt(now.Add(250*time.Millisecond)) == "x" {
 		t.Error("picked 0.25 s after it ended two connections")
 	}
-	again := now.Add(350 * time.Millisecond)
-	if picks(again) != "x" {
+	retried := now.Add(350 * time.Millisecond)
+	if pickAt(retried) != "x" {
 		t.Fatal("not tried again after 0.35 s")
 	}
-	fail(tracker, again, "x", balance.Broken, 1)
-	if picks(again.Add(500*time.Millisecond)) == "x" {
+	endRequests(tracker, retried, "x", balance.Broken, 1)
+	if pickAt(retried.Add(500*time.Millisecond)) == "x" {
 		t.Error("picked 0.5 s after it failed again")
 	}
-	if picks(again.Add(650*time.Millisecond)) != "x" {
+	if pickAt(retried.Add(650*time.Millisecond)) != "x" {
 		t.Error("not tried again after 0.65 s")
 	}
 }
 
-// TestCrowdedForARequestThatYields guards against a dispatcher that counts on a request which waits at its daemon, and
-// against one that waits although the number of places is not known.
+// TestCrowdedForARequestThatYields guards against a dispatcher that counts a request as load of an
+// instance although the request waits at its daemon. It also guards against a request that waits
+// although the number of slots is not known.
 func TestCrowdedForARequestThatYields(t *testing.T) {
 	cases := []struct {
 		name            string
@@ -231,9 +233,9 @@
 	}{
 		{"a full batch", 4, 4, true, true},
 		{"more than a full batch", 4, 7, true, true},
-		{"a free place", 4, 3, true, false},
+		{"a free slot", 4, 3, true, false},
 		{"a full batch, does not yield", 4, 4, false, false},
-		{"places are not known", 0, 4, true, false},
+		{"slots are not known", 0, 4, true, false},
 	}
 	for _, c := range cases {
 		now, tracker := time.Now(), balance.NewTracker()
--- a/balance/deltas_test.go
+++ b/balance/deltas_test.go
@@ -11,8 +11,9 @@
 	_ "github.com/wheatweir/wheatweir/internal/fixedseed"
 )
 
-// TestLoadDeltasAndTrackerAgree lets a tracker hear, by changes, of loads that come and go.
-// Messages may be lost; a second later at the latest it counts what there is.
+// TestLoadDeltasAndTrackerAgree applies updates of changing loads to a tracker and compares its sum
+// with the loads. Messages may be lost; after the next update with all loads, a second later at
+// most, the sum must be right again.
 func TestLoadDeltasAndTrackerAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -57,6 +58,6 @@
 		t.Errorf("to another receiver %v, changes %v", update, changes)
 	}
 	if deltas.Due(now.Add(900*time.Millisecond)) || !deltas.Due(now.Add(time.Second)) {
-		t.Error("all loads are told again at another time than after a second")
+		t.Error("all loads are not due after exactly one second")
 	}
 }
--- a/balance/forecast_test.go
+++ b/balance/forecast_test.go
@@ -14,14 +14,14 @@
 	return &fleet.Instance{ID: id, Service: "svc", Slots: forecastSlots}
 }
 
-// typical returns a candidate of usual speed with a load.
+// typical returns a candidate of typical speed with a load.
 func typical(id string, load balance.Load) *balance.Candidate {
 	return &balance.Candidate{Instance: engineInstance(id), Load: load}
 }
 
-// learned returns a forecaster that saw answers of one second, and 10,000 prompt tokens read
-// in 200 ms, at one instance.
-func learned(id string) *balance.Forecaster {
+// trainedForecaster returns a forecaster with samples of one instance: answers that run for one
+// second, and 10,000 prompt tokens read in 200 ms.
+func trainedForecaster(id string) *balance.Forecaster {
 	f := balance.NewForecaster()
 	for range 20 {
 		f.Run(typical(id, balance.Load{}), time.Second)
@@ -37,16 +37,16 @@
 		prompt int
 		want   time.Duration
 	}{
-		{"nothing to do", balance.Load{}, 1000, 20 * time.Millisecond},
-		{"prompts before it", balance.Load{Requests: 3, PromptTokens: 9000}, 1000, 200 * time.Millisecond},
-		{"the last place", balance.Load{Requests: forecastSlots - 1}, 1000, 20 * time.Millisecond},
-		{"first in line", balance.Load{Requests: forecastSlots}, 1000, 120 * time.Millisecond},
-		{"five in line", balance.Load{Requests: forecastSlots + 5}, 1000, 620 * time.Millisecond},
-		{"prompts take longer than the line", balance.Load{Requests: forecastSlots, PromptTokens: 99000}, 1000, 2 * time.Second},
+		{"no load", balance.Load{}, 1000, 20 * time.Millisecond},
+		{"prompts ahead of it", balance.Load{Requests: 3, PromptTokens: 9000}, 1000, 200 * time.Millisecond},
+		{"the last slot", balance.Load{Requests: forecastSlots - 1}, 1000, 20 * time.Millisecond},
+		{"first in the queue", balance.Load{Requests: forecastSlots}, 1000, 120 * time.Millisecond},
+		{"five in the queue", balance.Load{Requests: forecastSlots + 5}, 1000, 620 * time.Millisecond},
+		{"prompts take longer than the queue", balance.Load{Requests: forecastSlots, PromptTokens: 99000}, 1000, 2 * time.Second},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got := learned("x").FirstToken(typical("x", c.load), c.prompt)
+			got := trainedForecaster("x").FirstToken(typical("x", c.load), c.prompt)
 			if (got - c.want).Abs() > time.Millisecond {
 				t.Errorf("predicted %v, want %v", got, c.want)
 			}
@@ -61,25 +61,25 @@
 }
 
 func TestAnInstanceWithoutSamplesIsLikeItsService(t *testing.T) {
-	line := balance.Load{Requests: forecastSlots}
-	f := learned("x")
-	if known, other := f.FirstToken(typical("x", line), 1000), f.FirstToken(typical("y", line), 1000); known != other {
+	queued := balance.Load{Requests: forecastSlots}
+	f := trainedForecaster("x")
+	if known, other := f.FirstToken(typical("x", queued), 1000), f.FirstToken(typical("y", queued), 1000); known != other {
 		t.Errorf("predicted %v for an unknown instance, %v for the known one", other, known)
 	}
 	for range 20 {
 		f.Run(typical("slow", balance.Load{}), 5*time.Second)
 	}
-	if got := f.FirstToken(typical("slow", line), 1000); got < 500*time.Millisecond {
+	if got := f.FirstToken(typical("slow", queued), 1000); got < 500*time.Millisecond {
 		t.Errorf("predicted %v at an instance whose answers run five times as long", got)
 	}
 	f.Forget(func(id string) bool { return id != "slow" })
-	if got := f.FirstToken(typical("slow", line), 1000); got > 400*time.Millisecond {
-		t.Errorf("predicted %v from what was forgotten", got)
+	if got := f.FirstToken(typical("slow", queued), 1000); got > 400*time.Millisecond {
+		t.Errorf("predicted %v from removed averages", got)
 	}
 }
 
 func TestAFullBatchTeachesNothingAboutReading(t *testing.T) {
-	f := learned("x")
+	f := trainedForecaster("x")
 	before := f.FirstToken(typical("x", balance.Load{}), 1000)
 	for range 50 {
 		f.First(typical("x", balance.Load{Requests: forecastSlots, PromptTokens: 5000}), 1000, 3*time.Second)
--- a/balance/peers_test.go
+++ b/balance/peers_test.go
@@ -11,19 +11,19 @@
 	"github.com/wheatweir/wheatweir/fleet"
 )
 
-// TestPeersLoadsAddUp compares what a choice sees of an instance with a plain sum
-// over the peers that were heard lately, after any series of messages.
+// TestPeersLoadsAddUp compares the load of a picked instance with a plain sum over the peers with
+// recent updates, after any series of messages.
 func TestPeersLoadsAddUp(t *testing.T) {
-	const heardLately = 3 * time.Second
+	const ttl = 3 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
-		type heard struct {
+		type peerUpdate struct {
 			at    time.Time
 			loads map[string]balance.Load
 		}
 		now := time.Unix(1000, 0)
 		tracker := balance.NewTracker()
 		picker := balance.NewPicker(tracker)
-		oracle := map[string]heard{}
+		oracle := map[string]peerUpdate{}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 			peer := fmt.Sprint("p", rapid.IntRange(0, 3).Draw(t, "peer"))
@@ -33,16 +33,16 @@
 				loads[id] = balance.Load{Requests: rapid.IntRange(1, 9).Draw(t, "requests"), PromptTokens: rapid.IntRange(0, 9).Draw(t, "tokens")}
 			}
 			tracker.SetPeer(now, peer, loads)
-			oracle[peer] = heard{now, loads}
-			// Old loads are looked for from time to time only.
+			oracle[peer] = peerUpdate{now, loads}
+			// Outdated loads are only removed at intervals.
 			now = now.Add(200 * time.Millisecond)
 			for number := range 3 {
 				id := fmt.Sprint("i", number)
 				want := balance.Load{}
-				for _, told := range oracle {
-					if now.Sub(told.at) <= heardLately {
-						want.Requests += told.loads[id].Requests
-						want.PromptTokens += told.loads[id].PromptTokens
+				for _, update := range oracle {
+					if now.Sub(update.at) <= ttl {
+						want.Requests += update.loads[id].Requests
+						want.PromptTokens += update.loads[id].PromptTokens
 					}
 				}
 				chosen := picker.Pick(now, []*fleet.Instance{instance(id, "z")}, &balance.Request{})
@@ -54,14 +54,14 @@
 	})
 }
 
-// TestAnInstanceWithoutAnswersForSeveralIsLeftAlone covers a large fleet: each daemon
-// sends a server few requests, so what two of them met keeps the others away, also
-// when the word of these two has ended.
+// TestAnInstanceWithoutAnswersForSeveralIsLeftAlone guards against late detection in a large fleet,
+// where each daemon sends a server few requests. The failures of two daemons start a backoff at the
+// others, which continues after these two have ended their reports.
 func TestAnInstanceWithoutAnswersForSeveralIsLeftAlone(t *testing.T) {
 	now := time.Now()
 	tracker := balance.NewTracker()
 	group := []*fleet.Instance{instance("x", ""), instance("y", "")}
-	told := func(at time.Time, broken int) string {
+	pickAfter := func(at time.Time, broken int) string {
 		load := map[string]balance.Load{"y": {Requests: 9}}
 		if broken > 0 {
 			load["x"] = balance.Load{Avoiding: broken, Broken: broken}
@@ -69,31 +69,31 @@
 		tracker.SetPeer(at, "group/a", load)
 		return balance.NewPicker(tracker).Pick(at, group, &balance.Request{}).Instance.ID
 	}
-	if told(now, 1) != "x" {
-		t.Error("the word of one daemon keeps the others away")
+	if pickAfter(now, 1) != "x" {
+		t.Error("not picked although only one daemon gets no answers")
 	}
-	if told(now, 2) == "x" {
+	if pickAfter(now, 2) == "x" {
 		t.Error("picked although two daemons get no answers")
 	}
-	if told(now.Add(400*time.Millisecond), 0) == "x" {
+	if pickAfter(now.Add(400*time.Millisecond), 0) == "x" {
 		t.Error("picked again 0.4 s later")
 	}
-	again := now.Add(600 * time.Millisecond)
-	if told(again, 0) != "x" {
+	retried := now.Add(600 * time.Millisecond)
+	if pickAfter(retried, 0) != "x" {
 		t.Error("not tried again after 0.6 s")
 	}
-	told(again, 2)
-	if told(again.Add(800*time.Millisecond), 0) == "x" {
-		t.Error("the second pause is not longer")
+	pickAfter(retried, 2)
+	if pickAfter(retried.Add(800*time.Millisecond), 0) == "x" {
+		t.Error("the second backoff is not longer")
 	}
-	if told(again.Add(1200*time.Millisecond), 0) != "x" {
-		t.Error("not tried again after the second pause")
+	if pickAfter(retried.Add(1200*time.Millisecond), 0) != "x" {
+		t.Error("not tried again after the second backoff")
 	}
 }
 
-// TestDoubtsThatAreToldAgainAreNoNews covers daemons that tell all their loads each second:
-// that two of them still keep away from an instance says nothing new about it, and must not
-// make the pause here longer.
+// TestDoubtsThatAreToldAgainAreNoNews guards against a backoff that becomes longer with each
+// repeated report. Daemons send all their loads each second, so two of them that still avoid an
+// instance report no new failure.
 func TestDoubtsThatAreToldAgainAreNoNews(t *testing.T) {
 	now := time.Now()
 	tracker := balance.NewTracker()
@@ -110,12 +110,12 @@
 		tracker.TakePeer(later, peer, map[string]balance.Load{"x": {}}, true)
 	}
 	if got := balance.NewPicker(tracker).Pick(later, group, &balance.Request{}).Instance.ID; got != "x" {
-		t.Error("left alone although nobody keeps away any more")
+		t.Error("not picked although no daemon avoids it any more")
 	}
 	for _, peer := range []string{"a", "b"} {
 		tracker.TakePeer(later, peer, map[string]balance.Load{"x": broken}, true)
 	}
 	if got := balance.NewPicker(tracker).Pick(later.Add(10*time.Millisecond), group, &balance.Request{}).Instance.ID; got == "x" {
-		t.Error("picked although two daemons have just met trouble again")
+		t.Error("picked although two daemons have just reported new failures")
 	}
 }
--- a/balance/uneven_test.go
+++ b/balance/uneven_test.go
@@ -12,46 +12,46 @@
 	"github.com/wheatweir/wheatweir/fleet"
 )
 
-// knownPaces is a fixed slowness for each instance; others are typical.
-type knownPaces map[string]float64
+// fixedPaces is a fixed slowness for each instance. Other instances are typical.
+type fixedPaces map[string]float64
 
-func (p knownPaces) Slowness(instance string) float64 {
+func (p fixedPaces) Slowness(instance string) float64 {
 	if factor, found := p[instance]; found {
 		return factor
 	}
 	return 1
 }
 
-// usualTokens is what a daemon has learned: 2,000 prompt tokens take 100 ms, and a mean answer
-// of 50 tokens takes a second.
-var usualTokens = balance.TokenTimes{Read: 50 * time.Microsecond, Generate: 20 * time.Millisecond, Output: 50}
+// typicalTokens are the token times of a service: 2,000 prompt tokens take 100 ms, and a mean
+// answer of 50 tokens takes a second.
+var typicalTokens = balance.TokenTimes{Read: 50 * time.Microsecond, Generate: 20 * time.Millisecond, Output: 50}
 
-// drawnChoice is a choice with random loads.
-type drawnChoice struct {
+// randomChoice is the input of a choice, with random loads.
+type randomChoice struct {
 	group   []*fleet.Instance
 	loads   map[string]balance.Load
 	request balance.Request
 }
 
-func drawChoice(t *rapid.T) drawnChoice {
-	drawn := drawnChoice{loads: map[string]balance.Load{}}
+func drawChoice(t *rapid.T) randomChoice {
+	choice := randomChoice{loads: map[string]balance.Load{}}
 	zones := []string{"a", "b", "c"}
 	for i := range rapid.IntRange(1, 12).Draw(t, "candidates") {
 		added := instance(fmt.Sprint("i", i), rapid.SampledFrom(zones).Draw(t, "zone"))
 		added.Slots = rapid.IntRange(1, 96).Draw(t, "slots")
-		drawn.group = append(drawn.group, added)
-		drawn.loads[added.ID] = balance.Load{Requests: rapid.IntRange(1, 100).Draw(t, "requests"), PromptTokens: rapid.IntRange(0, 20000).Draw(t, "prompts")}
+		choice.group = append(choice.group, added)
+		choice.loads[added.ID] = balance.Load{Requests: rapid.IntRange(1, 100).Draw(t, "requests"), PromptTokens: rapid.IntRange(0, 20000).Draw(t, "prompts")}
 	}
-	drawn.request = balance.Request{
+	choice.request = balance.Request{
 		Zone: "a", ZoneCost: 0.03, Affinity: rapid.Uint64().Draw(t, "affinity"), PromptTokens: rapid.IntRange(0, 5000).Draw(t, "prompt"),
 		MemoryTokens: rapid.IntRange(0, 400000).Draw(t, "memory"), OutputTokens: rapid.IntRange(0, 500).Draw(t, "output"),
-		TargetGap: time.Duration(rapid.IntRange(0, 1000).Draw(t, "gap")) * time.Millisecond, Tokens: usualTokens,
+		TargetGap: time.Duration(rapid.IntRange(0, 1000).Draw(t, "gap")) * time.Millisecond, Tokens: typicalTokens,
 	}
-	return drawn
+	return choice
 }
 
-// standing is the choice by the scorers for even candidates.
-func (d drawnChoice) standing() string {
+// pickEven returns the choice of the scorers for even candidates.
+func (d randomChoice) pickEven() string {
 	best, bestScore := "", math.Inf(1)
 	for _, candidate := range d.group {
 		rated := &balance.Candidate{Instance: candidate, Load: d.loads[candidate.ID]}
@@ -66,7 +66,7 @@
 	return best
 }
 
-func (d drawnChoice) picked(paces balance.Paces) *balance.Candidate {
+func (d randomChoice) pick(paces balance.Paces) *balance.Candidate {
 	now := time.Unix(1000, 0)
 	tracker := balance.NewTracker()
 	tracker.SetPaces(paces)
@@ -74,19 +74,20 @@
 	return balance.NewPicker(tracker).Pick(now, d.group, &d.request)
 }
 
-// TestEvenCandidatesAreChosenAsWithoutPaces guards against pace that matters among servers of about
-// the same speed. The loads are random, up to a full batch and 20,000 prompt tokens.
+// TestEvenCandidatesAreChosenAsWithoutPaces guards against choices that depend on the slowness of
+// servers of about the same speed. The loads are random, up to a full batch and 20,000 prompt
+// tokens.
 func TestEvenCandidatesAreChosenAsWithoutPaces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		drawn := drawChoice(t)
+		choice := drawChoice(t)
 		least := rapid.Float64Range(0.3, 2).Draw(t, "least")
-		paces := knownPaces{}
-		for _, candidate := range drawn.group {
+		paces := fixedPaces{}
+		for _, candidate := range choice.group {
 			paces[candidate.ID] = least * rapid.Float64Range(1, 1.49).Draw(t, "factor")
 		}
-		want, without, with := drawn.standing(), drawn.picked(nil), drawn.picked(paces)
+		want, without, with := choice.pickEven(), choice.pick(nil), choice.pick(paces)
 		if without.Instance.ID != want || with.Instance.ID != want {
-			t.Fatalf("picked %s without paces and %s with them, the standing scorers %s", without.Instance.ID, with.Instance.ID, want)
+			t.Fatalf("picked %s without paces and %s with them, the even scorers %s", without.Instance.ID, with.Instance.ID, want)
 		}
 		if without.Slowness != 0 || with.Slowness != paces[want] {
 			t.Fatalf("slowness %v without paces, %v with them", without.Slowness, with.Slowness)
@@ -98,68 +99,70 @@
 	})
 }
 
-// TestUnevenCandidatesWithNothingLearnedAreChosenAsBefore guards against scores made of token
-// times that nobody has measured, or that another daemon made up. The loads are random.
+// TestUnevenCandidatesWithNothingLearnedAreChosenAsBefore guards against scores that use token
+// times which were not measured, or which another daemon reported wrongly. The loads are random.
 func TestUnevenCandidatesWithNothingLearnedAreChosenAsBefore(t *testing.T) {
 	useless := []balance.TokenTimes{
 		{}, {Read: time.Microsecond}, {Read: -1, Generate: 1, Output: 1}, {Read: time.Hour, Generate: 1, Output: 1},
 		{Read: 1, Generate: math.MaxInt64, Output: 1}, {Read: 1, Generate: 1, Output: -5},
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		drawn := drawChoice(t)
-		drawn.request.Tokens = rapid.SampledFrom(useless).Draw(t, "tokens")
-		paces := knownPaces{}
-		for _, candidate := range drawn.group {
+		choice := drawChoice(t)
+		choice.request.Tokens = rapid.SampledFrom(useless).Draw(t, "tokens")
+		paces := fixedPaces{}
+		for _, candidate := range choice.group {
 			paces[candidate.ID] = rapid.Float64Range(0.25, 4).Draw(t, "factor")
 		}
-		if got, want := drawn.picked(paces).Instance.ID, drawn.standing(); got != want {
-			t.Fatalf("picked %s, the standing scorers %s", got, want)
+		if got, want := choice.pick(paces).Instance.ID, choice.pickEven(); got != want {
+			t.Fatalf("picked %s, the even scorers %s", got, want)
 		}
 	})
 }
 
-// TestImplausibleSlownessIsBounded guards against a factor that sends everything to one server, or
-// nothing, or makes scores that no comparison orders.
+// TestImplausibleSlownessIsBounded guards against a factor that sends all requests or none to one
+// server, or that makes scores which can't be compared.
 func TestImplausibleSlownessIsBounded(t *testing.T) {
 	cases := map[float64]float64{
 		0: 1, -2: 1, math.Inf(1): 1, math.Inf(-1): 1, math.NaN(): 1, 0.01: 0.25, 100: 4, math.MaxFloat64: 4, 1.7: 1.7,
 	}
-	for told, want := range cases {
-		drawn := drawnChoice{group: siblings("x"), loads: map[string]balance.Load{}}
-		if got := drawn.picked(knownPaces{"x": told}).Slowness; got != want {
-			t.Errorf("%v counts as %v, want %v", told, got, want)
+	for slowness, want := range cases {
+		choice := randomChoice{group: siblings("x"), loads: map[string]balance.Load{}}
+		if got := choice.pick(fixedPaces{"x": slowness}).Slowness; got != want {
+			t.Errorf("%v counts as %v, want %v", slowness, got, want)
 		}
-		f := learned("x")
+		f := trainedForecaster("x")
 		usual, known := f.FirstToken(typical("y", balance.Load{}), 1000), typical("y", balance.Load{})
-		known.Slowness = told
+		known.Slowness = slowness
 		if got := f.FirstToken(known, 1000); (got - time.Duration(want*float64(usual))).Abs() > time.Microsecond {
-			t.Errorf("%v makes a forecast of %v, usually %v", told, got, usual)
+			t.Errorf("%v makes a forecast of %v, usually %v", slowness, got, usual)
 		}
 	}
 }
 
-// TestMissingCandidatesDoNotMakeAChoiceUneven guards against another way of choosing for the sake
-// of a server that can't take the request. Both others have the same requests, and the one with
-// fewer prompts has more zone cost than time to read them is worth.
+// TestMissingCandidatesDoNotMakeAChoiceUneven guards against using the scorers for uneven
+// candidates because of a server that can't take the request. The other two have the same number of
+// requests. The one with fewer prompts has a zone cost higher than the time to read these prompts
+// is worth.
 func TestMissingCandidatesDoNotMakeAChoiceUneven(t *testing.T) {
 	now := time.Now()
 	for missing, want := range map[bool]string{true: "near", false: "far"} {
 		tracker := balance.NewTracker()
-		tracker.SetPaces(knownPaces{"slow": 4})
+		tracker.SetPaces(fixedPaces{"slow": 4})
 		tracker.SetPeer(now, "peer", map[string]balance.Load{"near": {Requests: 1, PromptTokens: 10000}, "far": {Requests: 1}, "slow": {Requests: 9}})
 		if missing {
 			tracker.Missing(now, "slow", "", "", time.Minute)
 		}
 		group := []*fleet.Instance{instance("near", "z"), instance("far", "y"), instance("slow", "z")}
-		request := balance.Request{Zone: "z", ZoneCost: 0.5, OutputTokens: usualTokens.Output, Tokens: usualTokens, TargetGap: 500 * time.Millisecond}
+		request := balance.Request{Zone: "z", ZoneCost: 0.5, OutputTokens: typicalTokens.Output, Tokens: typicalTokens, TargetGap: 500 * time.Millisecond}
 		if got := balance.NewPicker(tracker).Pick(now, group, &request).Instance.ID; got != want {
 			t.Errorf("missing %v: picked %s, want %s", missing, got, want)
 		}
 	}
 }
 
-// TestLongAnswersGoToFastServers guards against the reverse, and against short answers that crowd
-// the fast servers. All servers are idle, or the fast ones have half a second to read.
+// TestLongAnswersGoToFastServers guards against long answers on slow servers, and against short
+// answers that crowd the fast servers. Either all servers are idle, or the fast one has prompts
+// that take half a second to read.
 func TestLongAnswersGoToFastServers(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -177,17 +180,17 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			drawn := drawnChoice{group: siblings("slow", "fast"), loads: map[string]balance.Load{"fast": {PromptTokens: c.waiting}}}
-			drawn.request = balance.Request{OutputTokens: c.output, PromptTokens: 100, TargetGap: 500 * time.Millisecond, Tokens: usualTokens}
-			if got := drawn.picked(knownPaces{"slow": 1.4, "fast": 0.6}).Instance.ID; got != c.want {
+			choice := randomChoice{group: siblings("slow", "fast"), loads: map[string]balance.Load{"fast": {PromptTokens: c.waiting}}}
+			choice.request = balance.Request{OutputTokens: c.output, PromptTokens: 100, TargetGap: 500 * time.Millisecond, Tokens: typicalTokens}
+			if got := choice.pick(fixedPaces{"slow": 1.4, "fast": 0.6}).Instance.ID; got != c.want {
 				t.Errorf("picked %s, want %s", got, c.want)
 			}
 		})
 	}
 }
 
-// TestTimeScore guards against a stall of running streams that counts too little, too much, or for
-// requests that have no gap to keep.
+// TestTimeScore guards against a stall of running streams that weighs too little or too much, or
+// that counts for requests without a target gap.
 func TestTimeScore(t *testing.T) {
 	const gap = 500 * time.Millisecond
 	cases := []struct {
@@ -204,12 +207,12 @@
 		{"no target gap", 0, 18000, 50, 1, 2},
 		{"a long answer", gap, 4000, 75, 1, 1.6},
 		{"a short answer", gap, 4000, 30, 2, 1},
-		{"a load that another daemon told wrongly", gap, -4000, 50, 1, 0.2},
-		{"no slowness", gap, 4000, 50, 0, 0.6},
+		{"a wrong load from another daemon", gap, -4000, 50, 1, 0.2},
+		{"unknown slowness", gap, 4000, 50, 0, 0.6},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			request := &balance.Request{PromptTokens: 2000, OutputTokens: c.output, TargetGap: c.gap, Tokens: usualTokens}
+			request := &balance.Request{PromptTokens: 2000, OutputTokens: c.output, TargetGap: c.gap, Tokens: typicalTokens}
 			candidate := &balance.Candidate{Load: balance.Load{PromptTokens: c.waiting}, Slowness: c.slowness}
 			if got := (balance.TimeScorer{}).Score(request, candidate); math.Abs(got-c.want) > 1e-9 {
 				t.Errorf("score %v, want %v", got, c.want)
@@ -218,33 +221,34 @@
 	}
 }
 
-// TestADispatcherUsesItsOwnTokenTimesIfItIsToldNone guards against a daemon without samples whose
-// requests are chosen without regard to speed, though its dispatcher knows enough.
+// TestADispatcherUsesItsOwnTokenTimesIfItIsToldNone guards against choices that ignore speed
+// because the request comes from a daemon without samples, although its dispatcher has enough of
+// them.
 func TestADispatcherUsesItsOwnTokenTimesIfItIsToldNone(t *testing.T) {
 	now := time.Now()
-	for _, told := range []balance.TokenTimes{{}, usualTokens} {
+	for _, tokens := range []balance.TokenTimes{{}, typicalTokens} {
 		tracker := balance.NewTracker()
-		tracker.SetPaces(knownPaces{"slow": 1.4, "fast": 0.6})
-		if told == (balance.TokenTimes{}) {
+		tracker.SetPaces(fixedPaces{"slow": 1.4, "fast": 0.6})
+		if tokens == (balance.TokenTimes{}) {
 			for range 8 {
-				teach(tracker, typical("other", balance.Load{}), 50)
+				recordAnswer(tracker, typical("other", balance.Load{}), 50)
 			}
 		}
 		tracker.SetPeer(now, "peer", map[string]balance.Load{"fast": {Requests: 2}, "slow": {Requests: 1}})
 		group := []*fleet.Instance{engineInstance("slow"), engineInstance("fast")}
-		request := balance.Request{OutputTokens: 171, Tokens: told}
+		request := balance.Request{OutputTokens: 171, Tokens: tokens}
 		if got := balance.NewPicker(tracker).Pick(now, group, &request).Instance.ID; got != "fast" {
-			t.Errorf("told %v: picked %s", told, got)
+			t.Errorf("token times %v: picked %s", tokens, got)
 		}
-		if request.Tokens != told {
+		if request.Tokens != tokens {
 			t.Errorf("the request was changed to %+v", request)
 		}
 	}
 }
 
-// teach lets a tracker see an answer that takes 20 ms for each stated token, after 2,000 prompt
-// tokens that take 100 ms.
-func teach(tracker *balance.Tracker, candidate *balance.Candidate, output int) {
+// recordAnswer records an answer in a tracker that takes 20 ms for each stated token, after 2,000
+// prompt tokens that take 100 ms. Both times are multiplied by the slowness of the candidate.
+func recordAnswer(tracker *balance.Tracker, candidate *balance.Candidate, output int) {
 	factor := max(candidate.Slowness, 0.25)
 	if candidate.Slowness == 0 {
 		factor = 1
@@ -254,66 +258,67 @@
 }
 
 // TestTokenTimesAreThoseOfTheTypicalInstance guards against averages that depend on which servers
-// the samples came from, or that count short answers as much as long ones.
+// the samples come from, or that weigh short answers as much as long ones.
 func TestTokenTimesAreThoseOfTheTypicalInstance(t *testing.T) {
 	tracker := balance.NewTracker()
 	for i := range 7 {
 		slow := typical("slow", balance.Load{})
 		slow.Slowness = 2
-		teach(tracker, slow, 10+80*(i%2))
+		recordAnswer(tracker, slow, 10+80*(i%2))
 		if got := tracker.TokenTimes("svc"); got != (balance.TokenTimes{}) {
 			t.Fatalf("%+v after %d samples", got, i+1)
 		}
 	}
 	fast := typical("fast", balance.Load{})
 	fast.Slowness = 0.5
-	teach(tracker, fast, 90)
+	recordAnswer(tracker, fast, 90)
 	got := tracker.TokenTimes("svc")
-	off := got.Output - usualTokens.Output
-	got.Output = usualTokens.Output
-	if (got.Read-usualTokens.Read).Abs() > 1 || (got.Generate-usualTokens.Generate).Abs() > 1 || off != 0 {
-		t.Errorf("learned %+v, want %+v, output off by %d", got, usualTokens, off)
+	off := got.Output - typicalTokens.Output
+	got.Output = typicalTokens.Output
+	if (got.Read-typicalTokens.Read).Abs() > 1 || (got.Generate-typicalTokens.Generate).Abs() > 1 || off != 0 {
+		t.Errorf("token times %+v, want %+v, output off by %d", got, typicalTokens, off)
 	}
 }
 
 // TestTheForecastOfAnInstanceWithFewSamplesTakesItsSlowness guards against forecasts that are too
-// long at fast servers, and an average of the service that follows whichever server answered last.
+// long at fast servers, and against an average of the service that depends on which server answered
+// last.
 func TestTheForecastOfAnInstanceWithFewSamplesTakesItsSlowness(t *testing.T) {
-	paced := func(id string, slowness float64) *balance.Candidate {
+	withSlowness := func(id string, slowness float64) *balance.Candidate {
 		candidate := typical(id, balance.Load{Requests: forecastSlots})
 		candidate.Slowness = slowness
 		return candidate
 	}
 	f := balance.NewForecaster()
 	for range 7 {
-		slow := paced("slow", 2)
+		slow := withSlowness("slow", 2)
 		slow.Load.Requests = 0
 		f.First(slow, 10000, 400*time.Millisecond)
 		f.Run(slow, 2*time.Second)
 	}
-	// A typical instance reads 1,000 tokens in 20 ms, and a place comes free each 100 ms.
+	// A typical instance reads 1,000 tokens in 20 ms, and a slot becomes free each 100 ms.
 	for candidate, want := range map[*balance.Candidate]time.Duration{
-		paced("typical", 1): 120 * time.Millisecond, paced("fast", 0.5): 60 * time.Millisecond, paced("slow", 2): 240 * time.Millisecond,
+		withSlowness("typical", 1): 120 * time.Millisecond, withSlowness("fast", 0.5): 60 * time.Millisecond, withSlowness("slow", 2): 240 * time.Millisecond,
 	} {
 		if got := f.FirstToken(candidate, 1000); (got - want).Abs() > time.Millisecond {
 			t.Errorf("predicted %v at the %s instance, want %v", got, candidate.Instance.ID, want)
 		}
 	}
 	for range 8 {
-		f.Run(paced("slow", 2), 4*time.Second)
+		f.Run(withSlowness("slow", 2), 4*time.Second)
 	}
-	if got := f.FirstToken(paced("slow", 2), 1000); got < 300*time.Millisecond || got > 500*time.Millisecond {
+	if got := f.FirstToken(withSlowness("slow", 2), 1000); got < 300*time.Millisecond || got > 500*time.Millisecond {
 		t.Errorf("predicted %v at an instance with samples of its own", got)
 	}
 }
 
-// BenchmarkPickFew measures a choice among as many candidates as a model has in practice, without
-// paces, among servers of even and of uneven speed.
+// BenchmarkPickFew measures a choice among as many candidates as a model has in practice: without
+// paces, and among servers of even and of uneven speed.
 func BenchmarkPickFew(b *testing.B) {
 	for _, count := range []int{4, 30} {
 		for _, kind := range []string{"none", "even", "uneven"} {
 			b.Run(fmt.Sprint(count, kind), func(b *testing.B) {
-				paces := knownPaces{}
+				paces := fixedPaces{}
 				group := make([]*fleet.Instance, count)
 				for i := range group {
 					group[i] = instance(fmt.Sprintf("server-%02d", i), "z", fleet.Resident{Model: "m"})
@@ -326,7 +331,7 @@
 					tracker.SetPaces(paces)
 				}
 				picker := balance.NewPicker(tracker)
-				request := balance.Request{Model: "m", MemoryTokens: 1000, Affinity: 7, Tokens: usualTokens}
+				request := balance.Request{Model: "m", MemoryTokens: 1000, Affinity: 7, Tokens: typicalTokens}
 				now := time.Now()
 				b.ReportAllocs()
 				for b.Loop() {
