--- a/balance/load.go
+++ b/balance/load.go
@@ -3,7 +3,7 @@
 // Load is the work in progress at one instance, and what daemons report of its failures.
 type Load struct {
 	// Each message between daemons contains many loads, so they are encoded without field names.
-	//lint:ignore U1000 the encoder looks at it
+	//lint:ignore U1000 read by the msgpack encoder
 	_msgpack struct{} `msgpack:",as_array"`
 	// Requests is the number of requests in progress.
 	Requests int
--- a/balance/picker.go
+++ b/balance/picker.go
@@ -8,7 +8,7 @@
 
 // Request is the input of the choice of an instance.
 type Request struct {
-	//lint:ignore U1000 the encoder looks at it
+	//lint:ignore U1000 read by the msgpack encoder
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Model   string
--- a/balance/tokentimes.go
+++ b/balance/tokentimes.go
@@ -16,7 +16,7 @@
 
 // TokenTimes holds the time for one token at the typical instance of a service.
 type TokenTimes struct {
-	//lint:ignore U1000 the encoder looks at it
+	//lint:ignore U1000 read by the msgpack encoder
 	_msgpack struct{} `msgpack:",as_array"`
 
 	// Read is the time to read a prompt token, waiting included.
--- a/pace/estimate.go
+++ b/pace/estimate.go
@@ -61,13 +61,13 @@
 		services[state.service] = append(services[state.service], state)
 	}
 	for service, states := range services {
-		t.estimate(service, states)
+		t.estimateService(service, states)
 	}
 	return t.publish()
 }
 
-// estimate computes the effects of the instances and models of one service.
-func (t *Book) estimate(service string, states []*instanceState) {
+// estimateService computes the effects of the instances and models of one service.
+func (t *Book) estimateService(service string, states []*instanceState) {
 	var models []*modelState
 	for key, model := range t.models {
 		if key.service == service {
