--- a/balance/picker.go
+++ b/balance/picker.go
@@ -51,7 +51,8 @@
 	Instance *fleet.Instance
 	// Load is the known load of the instance.
 	Load Load
-	// Available reports whether the instance is neither ejected, stalled nor in a backoff.
+	// Available reports whether the instance is neither ejected, stalled nor in a backoff, and not
+	// avoided by avoidQuorum other daemons.
 	Available bool
 	// Crowded means that the request should be delayed, because even this instance has many prompts
 	// to read. One more would stall the streams that run there. For a request that yields, it also
