--- a/coordination/actions.go
+++ b/coordination/actions.go
@@ -10,7 +10,7 @@
 	"github.com/wheatweir/wheatweir/residency"
 )
 
-// Action is something that a driver has to do.
+// Action is an operation that the driver has to carry out.
 type Action interface{ action() }
 
 // SendPeer sends a message to the daemon at an address.
@@ -19,26 +19,26 @@
 	Message Message
 }
 
-// Broadcast sends the same message to the daemons at several addresses.
+// Broadcast sends one message to the daemons at several addresses.
 type Broadcast struct {
 	Addresses []string
 	Message   Message
 }
 
-// CallLease makes a call to the store; LeaseAnswered takes the answer.
+// CallLease calls the store about the lease; LeaseAnswered takes the answer.
 type CallLease struct{ Call lease.Call }
 
-// AskReport asks a model server; ReportAnswered takes the answer.
+// AskReport requests a report from an instance; ReportAnswered takes the answer.
 type AskReport struct {
 	Instance string
 	Address  string
 }
 
-// Refresh makes the driver list a collection again, because another daemon knows
-// of something newer.
+// Refresh makes the driver list a collection of the store again, because another daemon knows of
+// something newer.
 type Refresh struct{ Source Source }
 
-// SendOrder sends an order; OrderAnswered takes the answer.
+// SendOrder sends an order to an instance; OrderAnswered takes the answer.
 type SendOrder struct {
 	Order residency.Order
 	Fence uint64
@@ -46,18 +46,20 @@
 	Until time.Time
 }
 
-// LearnCrashes hands on what another daemon told of servers that crashed.
+// LearnCrashes passes the driver another daemon's update on crashed instances.
 type LearnCrashes struct{ Update quarantine.Update }
 
-// LearnBrittle tells the driver what services said of being brittle to other daemons.
+// LearnBrittle passes the driver another daemon's update on which services are brittle: their
+// instances fall over if they turn requests away.
 type LearnBrittle struct{ Update brittle.Update }
 
 func (LearnBrittle) action() {}
 
-// LearnNotices hands on what another daemon told of what instances said of themselves.
+// LearnNotices passes the driver another daemon's update on the notices that instances gave of
+// themselves.
 type LearnNotices struct{ Update notice.Update }
 
-// Decision is a line for the log.
+// Decision is an entry for the log.
 type Decision struct {
 	Part   string
 	Text   string
--- a/coordination/demand.go
+++ b/coordination/demand.go
@@ -7,19 +7,19 @@
 	"github.com/wheatweir/wheatweir/residency"
 )
 
-// peerExpiry is how long what another daemon told counts.
-const peerExpiry = 3 * time.Second
+// peerTTL is how long a load update of another daemon remains valid.
+const peerTTL = 3 * time.Second
 
 type modelKey struct{ service, model string }
 
 // demandState holds the demand of all daemons for each model.
 type demandState struct {
-	own      []ModelLoad
-	smoothed map[modelKey]float64
-	current  map[string]map[string]residency.Demand
-	at       time.Time
-	// adopting says that the next average is what is heard then.
-	adopting bool
+	own       []ModelLoad
+	smoothed  map[modelKey]float64
+	current   map[string]map[string]residency.Demand
+	updatedAt time.Time
+	// smoothingSkipped makes the next average the demand received until then.
+	smoothingSkipped bool
 }
 
 func newDemandState() demandState {
@@ -28,35 +28,35 @@
 	}
 }
 
-// riseFactor is how much faster demand rises than it falls.
+// riseFactor is how much faster the average rises than it falls.
 const riseFactor = 6
 
-// tick works the demand out anew: an average that rises fast and falls slowly, so
-// that one request alone does not count as much as a lasting one.
+// tick recomputes the demand as an average that rises fast and falls slowly, so that a single
+// request does not count as much as a lasting one.
 func (d *demandState) tick(now time.Time, halfLife time.Duration, peers map[string]peerState) {
 	sums := map[modelKey]ModelLoad{}
 	for _, load := range d.own {
 		addLoad(sums, load)
 	}
 	for name, peer := range peers {
-		if now.Sub(peer.at) > peerExpiry {
+		if now.Sub(peer.at) > peerTTL {
 			delete(peers, name)
 			continue
 		}
 		peer.addDemand(now, sums)
 	}
 	elapsed := 0.0
-	if !d.at.IsZero() {
-		elapsed = now.Sub(d.at).Seconds() / halfLife.Seconds()
+	if !d.updatedAt.IsZero() {
+		elapsed = now.Sub(d.updatedAt).Seconds() / halfLife.Seconds()
 	}
-	d.at = now
+	d.updatedAt = now
 	for key := range sums {
 		d.smoothed[key] += 0
 	}
 	for key, value := range d.smoothed {
 		target := float64(sums[key].Requests)
 		steps := elapsed
-		if d.adopting {
+		if d.smoothingSkipped {
 			steps = math.Inf(1)
 		}
 		if target > value {
@@ -69,12 +69,13 @@
 		}
 		d.smoothed[key] = value
 	}
-	d.adopting = false
+	d.smoothingSkipped = false
 	d.publish(sums)
 }
 
-// adopt makes the next average what is heard then, instead of a step towards it.
-func (d *demandState) adopt() { d.adopting = true }
+// skipSmoothing makes the next average the demand received until then, instead of a step towards
+// it.
+func (d *demandState) skipSmoothing() { d.smoothingSkipped = true }
 
 func addLoad(sums map[modelKey]ModelLoad, load ModelLoad) {
 	key := modelKey{load.Service, load.Model}
@@ -88,7 +89,7 @@
 	sums[key] = sum
 }
 
-// addCounts adds counts to a sum, which is made when there are any.
+// addCounts adds counts to sum, which is created if there are any.
 func addCounts(sum, counts map[string]int) map[string]int {
 	for key, count := range counts {
 		if sum == nil {
@@ -99,8 +100,9 @@
 	return sum
 }
 
-// validRefused is the rate of refused requests, or zero if it is no possible part of the requests that begin: one
-// daemon's bad number must not spoil the sum over all.
+// validRefused returns the rate of refused requests. It returns zero if the rate is invalid or
+// exceeds the rate of requests that begin, so that one daemon's invalid number does not spoil the
+// sum over all.
 func (l *ModelLoad) validRefused() float32 {
 	if l.Refused > 0 && l.Refused <= l.PerSecond {
 		return l.Refused
@@ -124,8 +126,7 @@
 // of returns the demand for the models of a service.
 func (d *demandState) of(service string) map[string]residency.Demand { return d.current[service] }
 
-// Demand returns the smoothed number of requests for a model, as far as it is known
-// here.
+// Demand returns the smoothed number of requests for a model, as far as this daemon knows it.
 func (n *Node) Demand(service, model string) float64 {
 	return n.demand.of(service)[model].Concurrent
 }
--- a/coordination/groups.go
+++ b/coordination/groups.go
@@ -7,67 +7,67 @@
 	"github.com/wheatweir/wheatweir/rendezvous"
 )
 
-// groupSize is the most daemons that one dispatcher chooses for. Each brings it a few
-// requests and a few dozen changes of load a second.
-const groupSize = 24
+// maxGroupSize is the maximum number of daemons for which one dispatcher chooses instances. Each
+// sends it a few requests and a few dozen load changes a second.
+const maxGroupSize = 24
 
-// Group is this daemon's place in a large fleet. The daemons of a zone form groups; one
-// daemon of each, the dispatcher, chooses the instances for the requests of all. It hears
-// of every change of load in its group at once, and of those of the other groups through
-// their dispatchers, where a daemon alone would know what others did a second ago. In a
-// small fleet, where all tell all, there are no groups.
+// Group is this daemon's group in a large fleet. The daemons of a zone form groups. One daemon of
+// each, the dispatcher, chooses the instances for the requests of all. It receives every load
+// change in its group at once, and those of the other groups through their dispatchers. A daemon
+// without a dispatcher would only have the load of others as of a second ago. In a small fleet,
+// where each daemon sends its load to all others, there are no groups.
 type Group struct {
-	// Dispatcher is the name and Address the peer address of the one of this group;
-	// both are empty if there are no groups.
+	// Dispatcher is the name of this group's dispatcher and Address its peer address; both are
+	// empty if there are no groups.
 	Dispatcher string
 	Address    string
-	// Backup is the dispatcher of another group, which is asked while the own one does
-	// not answer, and BackupAddress its peer address; empty if there is none.
+	// Backup is the dispatcher of another group, used while the own one does not answer, and
+	// BackupAddress is its peer address; both are empty if there is none.
 	Backup        string
 	BackupAddress string
-	// Dispatching says that it is this daemon. Members then are the others of the group,
-	// and Others the peer addresses of the other dispatchers.
+	// Dispatching is set if this daemon is the dispatcher. Members are then the other daemons of
+	// the group, and Others the peer addresses of the other dispatchers.
 	Dispatching bool
 	Members     []string
 	Others      []string
-	// Count is how many groups there are.
+	// Count is the number of groups in the fleet.
 	Count int
 }
 
-// Leads reports whether this daemon is the dispatcher of another one.
+// Leads reports whether this daemon is the dispatcher of the named one.
 func (g *Group) Leads(name string) bool { return slices.Contains(g.Members, name) }
 
-// Group returns this daemon's place. The value must not be changed.
+// Group returns this daemon's group. The caller must not change it.
 func (n *Node) Group() *Group {
-	if revision := n.MembersRevision(); n.group == nil || revision != n.groupAt {
-		n.group, n.groupAt = n.newGroup(), revision
+	if revision := n.MembersRevision(); n.group == nil || revision != n.groupRevision {
+		n.group, n.groupRevision = n.computeGroup(), revision
 	}
 	return n.group
 }
 
-func (n *Node) newGroup() *Group {
+func (n *Node) computeGroup() *Group {
 	group := &Group{}
-	if len(n.others()) <= n.settings.SharePeers {
+	if len(n.liveOthers()) <= n.settings.SharePeers {
 		return group
 	}
 	self := n.detector.Self()
-	var elsewhere []string
-	for zone, names := range n.byZone() {
-		// The first daemons in the order are the dispatchers of the zone's groups, which
-		// the daemons join by turns.
-		groups := (len(names) + groupSize - 1) / groupSize
+	var otherDispatchers []string
+	for zone, names := range n.availableByZone() {
+		// The first daemons in the order are the dispatchers of the zone's groups. The others are
+		// assigned to the groups in rotation.
+		groups := (len(names) + maxGroupSize - 1) / maxGroupSize
 		group.Count += groups
-		own := -1
+		ownGroup := -1
 		if zone == self.Zone {
-			own = max(0, slices.Index(names, n.self)) % groups
-			group.Dispatcher = names[own]
+			ownGroup = max(0, slices.Index(names, n.self)) % groups
+			group.Dispatcher = names[ownGroup]
 		}
-		for place, name := range names {
+		for position, name := range names {
 			switch {
-			case place < groups && place != own:
+			case position < groups && position != ownGroup:
 				group.Others = append(group.Others, n.addressOf(name))
-				elsewhere = append(elsewhere, name)
-			case place >= groups && place%groups == own && name != n.self:
+				otherDispatchers = append(otherDispatchers, name)
+			case position >= groups && position%groups == ownGroup && name != n.self:
 				group.Members = append(group.Members, name)
 			}
 		}
@@ -79,28 +79,29 @@
 	if !group.Dispatching {
 		group.Members, group.Others = nil, nil
 	}
-	// By the name, so that the daemons of a group that lost its dispatcher go to several.
-	if len(elsewhere) > 0 && !group.Dispatching {
-		group.Backup = rendezvous.NewSet(elsewhere).Owner("backup/" + n.self)
+	// The backup is chosen by the daemon's name, so that the daemons of a group that lost its
+	// dispatcher are distributed over several.
+	if len(otherDispatchers) > 0 && !group.Dispatching {
+		group.Backup = rendezvous.NewSet(otherDispatchers).Owner("backup/" + n.self)
 		group.BackupAddress = n.addressOf(group.Backup)
 	}
 	return group
 }
 
 func (n *Node) addressOf(name string) string {
-	known, _ := n.detector.Lookup(name)
-	return known.PeerAddress
+	other, _ := n.detector.Lookup(name)
+	return other.PeerAddress
 }
 
-// byZone lists the daemons that are alive and not leaving, by zone, in an order that all
-// compute alike.
-func (n *Node) byZone() map[string][]string {
-	members := slices.DeleteFunc(n.detector.LiveMembers(), func(known member.Member) bool {
-		return known.State != member.Alive || known.Leaving
+// availableByZone lists the daemons that are alive and not leaving by zone, in an order that all
+// daemons compute alike.
+func (n *Node) availableByZone() map[string][]string {
+	members := slices.DeleteFunc(n.detector.LiveMembers(), func(other member.Member) bool {
+		return other.State != member.Alive || other.Leaving
 	})
 	zones := map[string][]string{}
-	for _, known := range member.Ranked(members, "dispatch/") {
-		zones[known.Zone] = append(zones[known.Zone], known.Name)
+	for _, other := range member.Ranked(members, "dispatch/") {
+		zones[other.Zone] = append(zones[other.Zone], other.Name)
 	}
 	return zones
 }
--- a/coordination/holder.go
+++ b/coordination/holder.go
@@ -7,62 +7,61 @@
 	"github.com/wheatweir/wheatweir/member"
 )
 
-// rankPause is how much later each further candidate tries to take the lease.
-const rankPause = 300 * time.Millisecond
+// rankDelay is how much later each further candidate tries to take the lease.
+const rankDelay = 300 * time.Millisecond
 
-// releasedRankPause is the same for a lease that was handed back: nobody has to be waited
-// for, and two that try at once do no harm.
-const releasedRankPause = 60 * time.Millisecond
+// releasedRankDelay replaces rankDelay after a release of the lease. It is shorter, since no former
+// holder has to be waited for and two concurrent attempts do no harm.
+const releasedRankDelay = 60 * time.Millisecond
 
 func (n *Node) tickLease(now time.Time) {
 	if !n.Known() {
 		return
 	}
-	_, _, ordering := n.mayOrder(now)
-	held := n.lease.Held(now) || ordering
+	_, _, mayOrder := n.mayOrder(now)
+	held := n.lease.Held(now) || mayOrder
 	if held != n.held {
 		n.held = held
 		n.leaseChanged(now)
 	}
 	if held {
-		n.lastHolder = now
+		n.holderSeenAt = now
 	}
-	if call := n.lease.Step(now, n.eager(now)); call != nil {
+	if call := n.lease.Step(now, n.shouldAcquireLease(now)); call != nil {
 		n.do(CallLease{Call: *call})
 	}
 }
 
-// eager reports whether this daemon should try to take the lease: nobody was
-// heard to hold it for a while. The candidates try one after the other, in an
-// order that all compute alike.
-func (n *Node) eager(now time.Time) bool {
+// shouldAcquireLease reports whether this daemon should try to take the lease, because no holder
+// has been observed for a while. The candidates try one after the other by rank, which all daemons
+// compute alike.
+func (n *Node) shouldAcquireLease(now time.Time) bool {
 	if n.releasedFence > 0 && n.releasedFence >= n.holderFence {
-		return now.Sub(n.releasedAt) >= time.Duration(n.Rank())*releasedRankPause
+		return now.Sub(n.releasedAt) >= time.Duration(n.Rank())*releasedRankDelay
 	}
-	silence := now.Sub(n.lastHolder)
-	quiet := n.settings.Lease.Term / 2
+	silence := now.Sub(n.holderSeenAt)
+	minSilence := n.settings.Lease.Term / 2
 	if n.holderName == "" {
-		// At the first start there is nobody to wait for.
-		quiet = rankPause
+		// At the first start there is no former holder to wait for.
+		minSilence = rankDelay
 	}
-	return silence >= quiet+time.Duration(n.Rank())*rankPause
+	return silence >= minSilence+time.Duration(n.Rank())*rankDelay
 }
 
-// Rank is this daemon's place among the live ones, in an order that all compute
-// alike.
+// Rank returns this daemon's rank among the live ones. All daemons compute the same order.
 func (n *Node) Rank() int {
-	if revision := n.MembersRevision(); revision != n.rankAt {
-		n.rank, n.rankAt = n.newRank(), revision
+	if revision := n.MembersRevision(); revision != n.rankRevision {
+		n.rank, n.rankRevision = n.computeRank(), revision
 	}
 	return n.rank
 }
 
-func (n *Node) newRank() int {
+func (n *Node) computeRank() int {
 	self := n.detector.Self()
 	return member.Rank(&self, n.detector.LiveMembers(), rankSalt)
 }
 
-// rankSalt makes the order of ranks.
+// rankSalt is hashed into the order of ranks.
 const rankSalt = "lease/"
 
 func (n *Node) leaseChanged(now time.Time) {
@@ -76,14 +75,15 @@
 	for id := range n.reports {
 		delete(n.reports, id)
 	}
-	// A predecessor may have used up the weight store's rate a moment ago.
+	// The former holder may have used up the weight store's rate just before.
 	if n.lease.Succeeded() {
-		n.demandDueAt = now.Add(n.demandWait())
+		n.demandWaitUntil = now.Add(n.demandCollectionDelay())
 		n.book.Inherit(now, n.loadsPerSecond())
 	}
 }
 
-// StandAside has another daemon hold the lease as long as this one can't send orders to model servers.
+// StandAside yields the lease to another daemon as long as aside is set, because this daemon can't
+// send orders to instances.
 func (n *Node) StandAside(now time.Time, aside bool) []Action {
 	n.decide("lease", "Stands aside.", "aside", aside, "held", n.held)
 	n.lease.StandAside(aside)
@@ -91,13 +91,13 @@
 	return n.take()
 }
 
-// LeaseAnswered takes in the end of a call for the lease.
+// LeaseAnswered processes the outcome of a call for the lease.
 func (n *Node) LeaseAnswered(now time.Time, outcome lease.Outcome, stored lease.Stored) []Action {
 	handedBack := n.lease.HandedBack()
 	n.lease.Answered(now, outcome, stored)
 	n.readOnceMore()
 	if !handedBack && n.lease.HandedBack() && n.lease.Released() {
-		n.spreadReleased(now)
+		n.sendRelease(now)
 	}
 	n.tickLease(now)
 	return n.take()
--- a/coordination/members.go
+++ b/coordination/members.go
@@ -7,63 +7,65 @@
 	"github.com/wheatweir/wheatweir/member"
 )
 
-// memberBelief is what was last logged of a daemon.
-type memberBelief struct {
+// loggedMember is the state of a daemon as last logged.
+type loggedMember struct {
 	state   member.State
 	leaving bool
-	// incarnation tells two lives of it apart, and a suspicion that it refuted.
+	// incarnation distinguishes two processes of the daemon, and the state before and after it
+	// refuted a suspicion.
 	incarnation uint64
 }
 
-// noteMembers notes each change in what is believed of the other daemons, for the log. Each is
+// logMemberChanges queues each change in the state of another daemon for the log. Each daemon is
 // named with its incarnation.
-func (n *Node) noteMembers(now time.Time) {
+func (n *Node) logMemberChanges(now time.Time) {
 	revision := n.MembersRevision()
-	if revision == n.membersAt {
+	if revision == n.loggedRevision {
 		return
 	}
-	n.membersAt = revision
+	n.loggedRevision = revision
 	for _, other := range n.detector.Members() {
-		belief := memberBelief{state: other.State, leaving: other.Leaving, incarnation: other.Incarnation}
-		if other.Name == n.self || n.members[other.Name] == belief {
+		current := loggedMember{state: other.State, leaving: other.Leaving, incarnation: other.Incarnation}
+		if other.Name == n.self || n.loggedMembers[other.Name] == current {
 			continue
 		}
-		n.members[other.Name] = belief
-		n.addNews(now, &n.memberNews, belief.String(), other.Name+"@"+strconv.FormatUint(other.Incarnation, 10))
+		n.loggedMembers[other.Name] = current
+		n.addNews(now, &n.memberNews, current.String(), other.Name+"@"+strconv.FormatUint(other.Incarnation, 10))
 	}
 }
 
-// heardSpan is how old the last word of a daemon may be in a small fleet, where all tell all five
-// times a second, before it counts as not heard.
-const heardSpan = time.Second
+// loadFreshness is the age from which the latest load update of a daemon counts as missing in a
+// small fleet, where all daemons send updates to all others five times a second.
+const loadFreshness = time.Second
 
-// TellsAll reports whether all daemons tell all others, as in a small fleet.
+// TellsAll reports whether the fleet is small enough that each daemon sends load updates to all
+// others.
 func (n *Node) TellsAll() bool { return n.detector.LiveCount()-1 <= n.settings.SharePeers }
 
-// HeardMembers returns all known daemons; in a small fleet those that were not heard lately are
-// suspect. A daemon that is cut off from all others suspects one of them in each probe interval
-// only, and must not count on the rest meanwhile.
+// HeardMembers returns all known daemons. In a small fleet, daemons without a recent load update
+// are marked suspect. A daemon that is cut off from all others suspects only one of them in each
+// probe interval, and must not rely on the rest meanwhile.
 func (n *Node) HeardMembers(now time.Time) []member.Member {
 	members := n.detector.Members()
 	if !n.TellsAll() {
 		return members
 	}
 	for i := range members {
-		known := &members[i]
-		silent := known.Name != n.self && now.Sub(n.peers[known.Name].at) > heardSpan
-		if silent && known.State == member.Alive {
-			known.State = member.Suspect
+		other := &members[i]
+		silent := other.Name != n.self && now.Sub(n.peers[other.Name].at) > loadFreshness
+		if silent && other.State == member.Alive {
+			other.State = member.Suspect
 		}
 	}
 	return members
 }
 
-// String returns the name used in logs.
-func (b memberBelief) String() string {
-	if b.leaving && b.state == member.Alive {
+// String returns the state as written to the log.
+func (m loggedMember) String() string {
+	if m.leaving && m.state == member.Alive {
 		return "leaving"
 	}
-	return b.state.String()
+	return m.state.String()
 }
 
 // sendAll sends a message to several daemons.
--- a/coordination/messages.go
+++ b/coordination/messages.go
@@ -12,162 +12,166 @@
 	"github.com/wheatweir/wheatweir/resumption"
 )
 
-// MessageForm names the form of Message and all that it holds. It goes into the key that
-// daemons prove to each other, so that during an upgrade those of the old and the new form
-// do not talk: fields that are not understood are passed over, and a list of instances
-// without their IDs would leave no instance. Both get along by the store meanwhile.
+// MessageForm names the format of Message and all types in it. It is part of the key that daemons
+// prove to each other, so that daemons of different formats do not communicate during an upgrade.
+// Unknown fields are skipped when decoding, and a list of instances without their IDs would leave
+// no instance. Meanwhile daemons of both formats read the store.
 const MessageForm = "12"
 
-// Message is what entry daemons tell each other.
+// Message is what one daemon sends to another.
 type Message struct {
 	From string `msgpack:"f"`
 	// Probe belongs to the membership protocol.
 	Probe *member.Message `msgpack:"p,omitempty"`
-	// Load is what the sender has in progress.
+	// Load is the sender's load update.
 	Load *Load `msgpack:"l,omitempty"`
-	// Ask asks for what the sender lacks. A receiver that knows no more looks at the store
+	// Ask requests what the sender lacks. A receiver that knows of nothing newer reads the store
 	// and answers if it finds something new.
 	Ask *Versions `msgpack:"a,omitempty"`
-	// Configuration and Instances answer that.
+	// Configuration, Instances and Evacuations are the responses to Ask.
 	Configuration *fleet.Configuration `msgpack:"c,omitempty"`
 	Instances     *Listing             `msgpack:"i,omitempty"`
 	Evacuations   *EvacuationListing   `msgpack:"z,omitempty"`
-	// Facts are reports of model servers, told by the holder of the lease to one
-	// daemon that lacks them.
+	// Facts are the state of instances by their reports, sent by the lease holder to one daemon
+	// that lacks them.
 	Facts []Fact `msgpack:"r,omitempty"`
-	// AskFacts asks the holder for all of them.
+	// AskFacts requests all facts from the lease holder.
 	AskFacts bool `msgpack:"q,omitempty"`
-	// Spread is what the holder of the lease tells all daemons, passed on along a
-	// tree.
+	// Spread is an update of the lease holder to all daemons, forwarded along a multicast tree.
 	Spread *Spread `msgpack:"s,omitempty"`
-	// Choose asks the dispatcher of a group for an instance, and Chosen answers.
+	// Choose requests an instance from the dispatcher of a group; Chosen is the response.
 	Choose *ChoiceRequest `msgpack:"h,omitempty"`
 	Chosen *Choice        `msgpack:"k,omitempty"`
-	// Group is the load of a whole group, told by its dispatcher to the others.
+	// Group is the load of a whole group, sent by its dispatcher to the other dispatchers.
 	Group *GroupLoad `msgpack:"g,omitempty"`
-	// AskAssurance asks how new the sender's configuration surely is, and Assurance answers.
+	// AskAssurance requests the moment for which the receiver's configuration is known to be the
+	// newest; Assurance is the response.
 	AskAssurance *AskAssurance `msgpack:"n,omitempty"`
 	Assurance    *Assurance    `msgpack:"u,omitempty"`
-	// Reads says that the sender has read the configuration from the store, which others may
-	// not reach.
+	// Reads reports that the sender has read the configuration from the store, which other daemons
+	// may be unable to reach.
 	Reads bool `msgpack:"d,omitempty"`
-	// Bulletin tells all daemons what one of them has found out.
+	// Bulletin broadcasts one daemon's observations to all daemons.
 	Bulletin *Bulletin `msgpack:"x,omitempty"`
-	// TenantLimit is about the limits of tenants, InstanceLimit about those that instances name, and InstanceSlot about
-	// the slots of instances that fall over if they turn requests away.
+	// TenantLimit is about the limits of tenants, InstanceLimit about limits that instances set
+	// themselves. InstanceSlot is about the slots of instances that fall over if they turn requests
+	// away.
 	TenantLimit   *limiter.Message `msgpack:"t,omitempty"`
 	InstanceLimit *limiter.Message `msgpack:"v,omitempty"`
 	InstanceSlot  *limiter.Message `msgpack:"j,omitempty"`
 	// Pace is about how fast instances work.
 	Pace *pace.Update `msgpack:"w,omitempty"`
-	// SuspectTurn is about who runs a content next under which a server has crashed.
+	// SuspectTurn is about which daemon next runs a request content under which an instance has
+	// crashed.
 	SuspectTurn *limiter.Message `msgpack:"e,omitempty"`
-	// Resumption is about the software versions that began streams.
+	// Resumption is about the software versions of the instances on which streams began.
 	Resumption *resumption.Message `msgpack:"o,omitempty"`
 }
 
-// GroupLoad is the load of a group by instance, or with Changes what has changed of it.
+// GroupLoad is the load of a group by instance. If Changes is set, it contains only what has
+// changed.
 type GroupLoad struct {
 	Loads   map[string]balance.Load `msgpack:"r,omitempty"`
 	Changes bool                    `msgpack:"d,omitempty"`
 }
 
-// ChoiceRequest asks for an instance for one request.
+// ChoiceRequest requests an instance for one request.
 type ChoiceRequest struct {
-	// ID pairs the answer with the question.
+	// ID matches the response with the request.
 	ID      uint64          `msgpack:"i"`
 	Service string          `msgpack:"s"`
 	Request balance.Request `msgpack:"r"`
 }
 
-// Choice is the instance for one request.
+// Choice is the response to a ChoiceRequest.
 type Choice struct {
 	ID uint64 `msgpack:"i"`
-	// Instance is empty if the dispatcher knows of none.
+	// Instance is empty if the dispatcher knows of no suitable instance.
 	Instance string       `msgpack:"n,omitempty"`
 	Load     balance.Load `msgpack:"l"`
 	Of       int          `msgpack:"o,omitempty"`
-	// Crowded says that the request should wait a little instead.
+	// Crowded is set if the request should be held back for a moment instead.
 	Crowded bool `msgpack:"c,omitempty"`
-	// Slowness is how long the instance's work takes relative to the typical instance; zero
-	// counts as one.
+	// Slowness is the ratio of this instance's processing time to that of the typical instance;
+	// zero counts as one.
 	Slowness float64 `msgpack:"s,omitempty"`
 }
 
-// Spread is one message of the holder of the lease to all daemons.
+// Spread is an update of the lease holder to all daemons.
 type Spread struct {
-	// Root is the holder, Boot its life, and Sequence the number of the message in
-	// that life: each daemon takes and passes on only what is newer.
+	// Root is the lease holder, Boot identifies its process, and Sequence numbers the updates of
+	// that process. A daemon processes and forwards only updates that are newer than the last one.
 	Root     string `msgpack:"o"`
 	Boot     uint64 `msgpack:"b"`
 	Sequence uint64 `msgpack:"n"`
-	// Fence is the fencing token, Lease the place of the newest renewal.
+	// Fence is the fencing token, Lease the place of the latest renewal in the store's history.
 	Fence uint64        `msgpack:"f"`
 	Lease history.Place `msgpack:"l"`
-	// Released says that the holder has handed the lease back: Lease is the place of
-	// that write.
+	// Released is set if the holder has released the lease; Lease is then the place of that write.
 	Released bool `msgpack:"e,omitempty"`
-	// Facts are new ones only; Digest is over all that the holder knows.
+	// Facts contains only new facts; Digest covers all facts of the holder.
 	Facts  []Fact `msgpack:"r,omitempty"`
 	Digest uint64 `msgpack:"d"`
 }
 
-// Load is what one daemon has in progress and waits for.
+// Load is a daemon's update on its requests in progress and waiting.
 type Load struct {
 	Versions
-	// Fence is the fencing token if the sender holds the lease, else zero.
+	// Fence is the fencing token if the sender holds the lease, otherwise zero.
 	Fence uint64 `msgpack:"f,omitempty"`
-	// Watching says that the sender watches the store.
+	// Watching is set if the sender watches the store.
 	Watching bool `msgpack:"h,omitempty"`
-	// Watched is how long ago the sender itself heard from a daemon that watches the
-	// store; zero if that is too long ago, or if it watches.
+	// Watched is how long ago the sender itself last received a message from a daemon that watches
+	// the store. It is zero if that is too long ago, or if the sender watches the store itself.
 	Watched time.Duration `msgpack:"e,omitempty"`
-	// StoreAway says that the store does not answer the sender.
+	// StoreAway is set if the store does not answer the sender.
 	StoreAway bool `msgpack:"w,omitempty"`
-	// Lease is the place of the newest renewal, nil if the sender does not hold the lease.
+	// Lease is the place of the latest renewal; nil if the sender does not hold the lease.
 	Lease *history.Place `msgpack:"l,omitempty"`
-	// Requests is the load by instance, or with Changes what has changed of it, see
+	// Requests is the load by instance. If Changes is set, it contains only what has changed, see
 	// balance.LoadDeltas.
 	Requests map[string]balance.Load `msgpack:"r,omitempty"`
 	Changes  bool                    `msgpack:"d,omitempty"`
-	// Models tells of the demand. In a large fleet only the holder of the lease is
-	// told; for others it is left out, which NoModels says.
+	// Models is the demand for models. In a large fleet only the lease holder receives it. NoModels
+	// is set if it is left out.
 	Models   []ModelLoad `msgpack:"m,omitempty"`
 	NoModels bool        `msgpack:"n,omitempty"`
 }
 
-// Versions say how new a daemon's knowledge is.
+// Versions are the versions of the collections that a daemon has.
 type Versions struct {
-	// Configuration is the version of the configuration, zero if none is known.
+	// Configuration is the version of the configuration, zero if there is none.
 	Configuration uint64 `msgpack:"c,omitempty"`
-	// Routes is the number of routes of that configuration, which tells how large
-	// it is.
+	// Routes is the number of routes of that configuration, as a measure of its size.
 	Routes int `msgpack:"o,omitempty"`
-	// Instances is the version of the newest change of the instances.
+	// Instances is the place of the latest change of the instances.
 	Instances history.Place `msgpack:"i"`
-	// Evacuations is the version of the newest change of the evacuated zones.
+	// Evacuations is the place of the latest change of the evacuated zones.
 	Evacuations history.Place `msgpack:"z,omitempty"`
-	// InstancesFrom and EvacuationsFrom are told by daemons that watch the store: the places of their first lists. They
-	// know nothing of what was removed before.
+	// InstancesFrom and EvacuationsFrom are the places of the first lists that a daemon watching
+	// the store has read; other daemons leave them zero. The sender does not know of removals
+	// before them.
 	InstancesFrom   history.Place `msgpack:"b,omitempty"`
 	EvacuationsFrom history.Place `msgpack:"y,omitempty"`
 }
 
-// Listing is the list of all instances at a place in the store's history, or the changes
-// since an earlier one.
+// Listing is the list of all instances at a place in the store's history, or the changes since an
+// earlier place.
 type Listing struct {
 	At    history.Place `msgpack:"a"`
 	Since history.Place `msgpack:"s"`
-	// Until is the place up to which the list may lack what was removed while it was read.
+	// Until is the place up to which removals may be missing, since they happened while the list
+	// was read.
 	Until history.Place `msgpack:"u"`
-	// Changes says that Items are changes only, PassedOver that they lack some of what came and went in between.
+	// Changes is set if Items contains changes only. PassedOver is set if some instances that came
+	// and went in between are missing.
 	Changes    bool             `msgpack:"c,omitempty"`
 	PassedOver bool             `msgpack:"g,omitempty"`
 	Items      []ListedInstance `msgpack:"i"`
 }
 
-// ListedInstance is one instance with the place of its last change. Of one that
-// is gone only the ID is told.
+// ListedInstance is one instance with the place of its last change. Of a removed instance only the
+// ID is sent.
 type ListedInstance struct {
 	Place history.Place  `msgpack:"r"`
 	Gone  bool           `msgpack:"g,omitempty"`
@@ -177,38 +181,39 @@
 // Source names a collection of the store.
 type Source string
 
-// Collections of the store that every daemon follows.
+// Collections of the store that daemons follow.
 const (
 	SourceConfiguration Source = "configuration"
 	SourceInstances     Source = "instances"
-	// SourceEvacuations is followed where the operator may evacuate zones.
+	// SourceEvacuations is followed only where the operator may evacuate zones.
 	SourceEvacuations Source = "evacuations"
 )
 
-// ModelLoad is the demand for one model at one daemon.
+// ModelLoad is one daemon's demand for one model.
 type ModelLoad struct {
 	Service string `msgpack:"s"`
 	Model   string `msgpack:"m"`
 	// Requests counts requests in progress or waiting.
 	Requests int `msgpack:"r"`
-	// PerSecond is the number of requests that begin each second, averaged over the
-	// last seconds.
+	// PerSecond is the number of requests that begin each second, averaged over the last seconds.
 	PerSecond float32 `msgpack:"b,omitempty"`
-	// Refused is the number of those that are refused each second for lack of capacity, averaged likewise.
+	// Refused is the number of requests refused each second for lack of capacity, averaged
+	// likewise.
 	Refused float32 `msgpack:"x,omitempty"`
 	// Waiting counts requests that no instance can take.
 	Waiting int `msgpack:"w,omitempty"`
-	// Adapters counts requests that wait for an adapter.
+	// Adapters counts the requests that wait for each adapter.
 	Adapters map[string]int `msgpack:"a,omitempty"`
-	// Software counts streams that wait for an instance of the software version that began them.
+	// Software counts, by software version, the streams that wait for an instance of the version on
+	// which they began.
 	Software map[string]int `msgpack:"v,omitempty"`
 }
 
-// Fact is what a report of a model server said about what it holds.
+// Fact is what an instance holds according to its report.
 type Fact struct {
 	Instance  string           `msgpack:"i"`
 	Sequence  uint64           `msgpack:"q"`
 	Residents []fleet.Resident `msgpack:"r"`
-	// Age is how old the report was when it was sent on.
+	// Age is the age of the report when the fact was sent.
 	Age time.Duration `msgpack:"a"`
 }
--- a/coordination/node.go
+++ b/coordination/node.go
@@ -13,8 +13,7 @@
 	"github.com/wheatweir/wheatweir/residency"
 )
 
-// Node is the coordination state of one entry daemon. It is not safe for
-// concurrent use.
+// Node is the coordination state of one daemon. It is not safe for concurrent use.
 type Node struct {
 	settings Settings
 	random   *rand.Rand
@@ -29,74 +28,75 @@
 	evacuations   *feed.Mirror[fleet.Evacuation]
 	facts         factBook
 	reports       map[string]*reportState
-	// listedAt is when the list last told something new of an instance.
+	// listedAt is, for each instance, the time of the last list entry with new information.
 	listedAt map[string]time.Time
 	demand   demandState
-	sharing  shareState
+	sharing  loadUpdateState
 	peers    map[string]peerState
 
 	sources map[Source]*sourceState
 	eras    eraState
-	// departures tells which instances have left, whatever the store shows after a restore.
-	departures   departures
-	departuresAt time.Time
-	questions    []question
-	members      map[string]memberBelief
-	followed     followedRevision
-	// memberNews and instanceNews are what the log has not told yet.
-	memberNews   newsList
-	instanceNews newsList
-	membersAt    uint64
-	group        *Group
-	groupAt      uint64
-	// forwarding is the fleet at the members' revision forwardingAt.
-	forwarding   *forwarding
-	forwardingAt uint64
-	// order lists the live daemons by their ranks, at the members' revision orderAt.
-	order   []string
-	orderAt uint64
-	rank    int
-	rankAt  uint64
-
-	// watcherAt is when a daemon that watches the store was last heard of, and
-	// watcherHeardAt when one was heard itself.
+	// departures records which instances have left, whatever the store shows after a restore from a
+	// copy.
+	departures      departures
+	departuresAt    time.Time
+	questions       []question
+	loggedMembers   map[string]loggedMember
+	appliedRevision appliedRevision
+	// memberNews and instanceNews are changes that have not been logged yet.
+	memberNews     newsList
+	instanceNews   newsList
+	loggedRevision uint64
+	group          *Group
+	groupRevision  uint64
+	// trees are the multicast trees of the fleet at the members revision treesRevision.
+	trees         *multicastTrees
+	treesRevision uint64
+	// order lists the live daemons by rank, at the members revision orderAt.
+	order        []string
+	orderAt      uint64
+	rank         int
+	rankRevision uint64
+
+	// watcherAt is the time of the latest evidence, first- or second-hand, of a daemon that watches
+	// the store; watcherHeardAt is the time of the last message directly from such a daemon.
 	watcherAt      time.Time
 	watchUntil     time.Time
 	watcherHeardAt time.Time
-	lastHolder     time.Time
+	holderSeenAt   time.Time
 	holderName     string
 	holderFence    uint64
-	// releasedFence is the token of the last holder that handed the lease back, which was
-	// heard at releasedAt.
+	// releasedFence is the fencing token of the last holder that released the lease. The release
+	// was observed at releasedAt.
 	releasedFence uint64
 	releasedAt    time.Time
-	// demandDueAt is until when a new holder waits for the demand for models; zero if it
+	// demandWaitUntil is until when a new lease holder collects demand before it plans; zero if it
 	// does not wait.
-	demandDueAt time.Time
-	held        bool
-	plannedAt   time.Time
-	planDue     bool
-	plans       uint64
-	spreading   spreadState
-	bulletins   bulletinState
-	assured     assurance
-	// changed holds the instances that the view does not show as they are.
+	demandWaitUntil time.Time
+	held            bool
+	plannedAt       time.Time
+	planDue         bool
+	plans           uint64
+	spreading       holderUpdateState
+	bulletins       bulletinState
+	assured         assurance
+	// changed holds the instances whose state in the view is out of date.
 	changed map[string]bool
 	view    *fleet.View
 	actions []Action
 }
 
-// peerState is what another daemon told last.
+// peerState is the latest load update of another daemon.
 type peerState struct {
 	load Load
 	at   time.Time
-	// modelsAt is when it last told of the demand for models.
+	// modelsAt is when the daemon last reported its demand for models.
 	modelsAt time.Time
 }
 
-// addDemand adds what the daemon told of the demand, unless that was long ago.
+// addDemand adds the reported demand of the daemon to sums, unless the report has expired.
 func (p *peerState) addDemand(now time.Time, sums map[modelKey]ModelLoad) {
-	if now.Sub(p.modelsAt) > peerExpiry {
+	if now.Sub(p.modelsAt) > peerTTL {
 		return
 	}
 	for _, load := range p.load.Models {
@@ -104,7 +104,7 @@
 	}
 }
 
-// New returns the node of a daemon.
+// New returns a node. Seeds are the addresses through which it joins the fleet.
 func New(now time.Time, self member.Member, settings Settings, seeds []string, random *rand.Rand) *Node {
 	boot := strconv.FormatUint(self.Incarnation, 36) + strconv.FormatUint(random.Uint64(), 36)
 	node := &Node{
@@ -114,20 +114,20 @@
 		book:      residency.NewBook(settings.Residency),
 		instances: feed.NewMirror[*fleet.Instance](), evacuations: feed.NewMirror[fleet.Evacuation](),
 		facts: newFactBook(), departures: newDepartures(), changed: map[string]bool{}, reports: map[string]*reportState{}, listedAt: map[string]time.Time{}, peers: map[string]peerState{},
-		demand: newDemandState(), lastHolder: now, watcherAt: now.Add(settings.WatchAfter),
+		demand: newDemandState(), holderSeenAt: now, watcherAt: now.Add(settings.WatchAfter),
 		view:      fleet.NewView(nil, nil),
-		spreading: newSpreadState(random.Uint64()), bulletins: newBulletinState(random.Uint64()), assured: assurance{sequence: random.Uint64()},
-		members: map[string]memberBelief{}, memberNews: newsList{part: "daemons"}, instanceNews: newsList{part: "instances"},
+		spreading: newHolderUpdateState(random.Uint64()), bulletins: newBulletinState(random.Uint64()), assured: assurance{sequence: random.Uint64()},
+		loggedMembers: map[string]loggedMember{}, memberNews: newsList{part: "daemons"}, instanceNews: newsList{part: "instances"},
 		sources: map[Source]*sourceState{SourceConfiguration: {}, SourceInstances: {}, SourceEvacuations: {}},
 	}
 	node.detector.SetSeeds(seeds)
 	return node
 }
 
-// SetSeeds replaces the addresses to join through.
+// SetSeeds replaces the addresses through which the daemon joins the fleet.
 func (n *Node) SetSeeds(addresses []string) { n.detector.SetSeeds(addresses) }
 
-// take returns the actions collected so far.
+// take returns the collected actions and clears them.
 func (n *Node) take() []Action {
 	actions := n.actions
 	n.actions = nil
@@ -140,27 +140,29 @@
 	n.do(Decision{Part: part, Text: text, Fields: fields})
 }
 
-// Known reports whether configuration, instances and evacuations are known.
+// Known reports whether the configuration, the instances and the evacuations have all been
+// received.
 func (n *Node) Known() bool {
 	return n.configuration != nil && n.instances.Known() && n.evacuationsKnown()
 }
 
-// Members returns all known daemons.
+// Members returns all known daemons, in any state.
 func (n *Node) Members() []member.Member { return n.detector.Members() }
 
-// Holds reports whether this daemon holds the lease on orders.
+// Holds reports whether this daemon holds the lease on orders, or may send orders during a store
+// outage as its last holder.
 func (n *Node) Holds(now time.Time) bool {
-	_, _, ordering := n.mayOrder(now)
-	return n.lease.Held(now) || ordering
+	_, _, mayOrder := n.mayOrder(now)
+	return n.lease.Held(now) || mayOrder
 }
 
-// Tick does what is due.
+// Tick runs all periodic work that is due.
 func (n *Node) Tick(now time.Time) []Action {
 	for _, packet := range n.detector.Tick(now) {
 		n.sendProbe(packet)
 	}
-	n.followRevision(now)
-	n.noteMembers(now)
+	n.applyRevision(now)
+	n.logMemberChanges(now)
 	n.logDueNews(now)
 	n.tickWatching(now)
 	n.tickSources(now)
@@ -170,12 +172,13 @@
 	n.tickAssurance(now)
 	n.tickLease(now)
 	n.tickReports(now)
-	n.tickSpread(now)
-	if n.planDue && now.Sub(n.plannedAt) >= n.planPause() || now.Sub(n.plannedAt) >= n.settings.PlanEvery {
+	n.tickHolderUpdates(now)
+	if n.planDue && now.Sub(n.plannedAt) >= n.planInterval() || now.Sub(n.plannedAt) >= n.settings.PlanEvery {
 		n.plan(now)
 	}
-	if now.Sub(n.demand.at) >= n.settings.PlanEvery {
-		// Also without orders to send, so that a new holder knows the past demand.
+	if now.Sub(n.demand.updatedAt) >= n.settings.PlanEvery {
+		// The demand is also averaged without orders to send, so that a new lease holder has the
+		// past demand.
 		n.demand.tick(now, n.settings.DemandHalfLife, n.peers)
 	}
 	return n.take()
@@ -186,7 +189,7 @@
 	n.do(SendPeer{Address: packet.Address, Message: Message{From: n.self, Probe: &message}})
 }
 
-// Receive takes in a message of another daemon.
+// Receive processes a message of another daemon.
 func (n *Node) Receive(now time.Time, message Message) []Action {
 	if message.Probe != nil {
 		for _, packet := range n.detector.Receive(now, *message.Probe) {
@@ -194,7 +197,7 @@
 		}
 	}
 	if message.Load != nil {
-		n.takeLoad(now, message.From, *message.Load)
+		n.mergeLoad(now, message.From, *message.Load)
 	}
 	if message.Ask != nil {
 		n.answerAsk(message.From, *message.Ask)
@@ -209,14 +212,14 @@
 	if message.Evacuations != nil {
 		n.takeEvacuations(now, origin(message.From), message.Evacuations)
 	}
-	for _, told := range message.Facts {
-		n.learn(told, now.Add(-told.Age))
+	for _, entry := range message.Facts {
+		n.learn(entry, now.Add(-entry.Age))
 	}
 	if message.AskFacts {
-		n.answerFacts(now, message.From)
+		n.sendAllFacts(now, message.From)
 	}
 	if message.Spread != nil {
-		n.takeSpread(now, message)
+		n.receiveHolderUpdate(now, message)
 	}
 	if message.Bulletin != nil {
 		n.takeBulletin(message.Bulletin)
@@ -233,7 +236,7 @@
 	return n.take()
 }
 
-func (n *Node) takeLoad(now time.Time, from string, load Load) {
+func (n *Node) mergeLoad(now time.Time, from string, load Load) {
 	modelsAt := now
 	if load.NoModels {
 		before := n.peers[from]
@@ -243,45 +246,45 @@
 	n.hearOfWatcher(now, &load)
 	n.noteVersions(now, from, load.Versions)
 	if load.Fence != 0 && load.Lease != nil {
-		n.heardHolder(now, from, load.Fence, *load.Lease)
+		n.observeHolder(now, from, load.Fence, *load.Lease)
 	}
 	switch {
 	case !waits(load):
 	case n.held:
 		n.planSoon(now)
 	case modelsAt.Equal(now) && n.Group().Leads(from):
-		n.sharing.memberWaits = true
-		n.shareDemand(now)
+		n.sharing.groupWaiter = true
+		n.reportDemand(now)
 	}
 }
 
-// heardHolder takes in that another daemon holds the lease. What an earlier holder
-// said is dropped.
-func (n *Node) heardHolder(now time.Time, from string, fence uint64, renewal history.Place) {
+// observeHolder records that another daemon holds the lease. Messages of earlier holders are
+// rejected by their fencing tokens.
+func (n *Node) observeHolder(now time.Time, from string, fence uint64, renewal history.Place) {
 	if fence < n.holderFence || fence <= n.releasedFence {
 		return
 	}
 	n.holderFence = fence
 	if n.holderName != from {
-		n.decide("lease", "Holder heard.", "holder", from, "fence", fence)
+		n.decide("lease", "Lease holder observed.", "holder", from, "fence", fence)
 	}
 	n.holderName = from
-	n.lastHolder = now
+	n.holderSeenAt = now
 	n.lease.Heard(now, renewal)
 }
 
-// heardReleased takes in that the holder has handed the lease back: the next one need not
-// wait until it has been silent for a while.
-func (n *Node) heardReleased(now time.Time, from string, fence uint64, release history.Place) {
+// observeRelease records that the holder has released the lease. The next holder then need not wait
+// until the former one has been silent for a while.
+func (n *Node) observeRelease(now time.Time, from string, fence uint64, release history.Place) {
 	if fence < n.holderFence || fence <= n.releasedFence {
 		return
 	}
-	n.decide("lease", "Released.", "holder", from, "fence", fence)
+	n.decide("lease", "Lease released by its holder.", "holder", from, "fence", fence)
 	n.releasedFence, n.releasedAt = fence, now
 	n.lease.HeardReleased(now, release)
 }
 
-// Plans returns how often this daemon has planned.
+// Plans returns how often this daemon has planned since its start.
 func (n *Node) Plans() uint64 { return n.plans }
 
 // waits reports whether requests wait for a model or adapter.
@@ -294,7 +297,8 @@
 	return false
 }
 
-// ConfigurationLearned takes in a configuration; older versions are dropped.
+// ConfigurationLearned applies a configuration unless its version is not newer than the present
+// one.
 func (n *Node) ConfigurationLearned(configuration *fleet.Configuration) []Action {
 	n.learnConfiguration(configuration)
 	return n.take()
@@ -307,27 +311,27 @@
 	n.configuration = configuration
 	n.noteAllCold()
 	n.assureAhead()
-	n.decide("configuration", "In force.", "version", configuration.Version, "routes", len(configuration.Routes), "services", len(configuration.Services))
+	n.decide("configuration", "Configuration activated.", "version", configuration.Version, "routes", len(configuration.Routes), "services", len(configuration.Services))
 }
 
-// InstancesListed takes in a full list of instances.
+// InstancesListed applies a full list of instances.
 func (n *Node) InstancesListed(now time.Time, batch feed.Batch[*fleet.Instance]) []Action {
 	n.replaceInstances(now, originStore, batch)
 	return n.take()
 }
 
-// InstancesChanged takes in changes of instances.
+// InstancesChanged applies changes of instances.
 func (n *Node) InstancesChanged(now time.Time, batch feed.Batch[*fleet.Instance]) []Action {
 	n.learnEra(now, originStore, batch.At.Era)
 	n.instancesChanged(now, originStore, n.instances.Apply(batch), false)
 	return n.take()
 }
 
-// InstancesAt returns the place that the instances are complete up to.
+// InstancesAt returns the place in the store's history up to which the instances are complete.
 func (n *Node) InstancesAt() history.Place { return n.instances.At() }
 
-// instancesChanged takes in what became of instances. Restored says that a copy shows them, from which the
-// store came back.
+// instancesChanged updates the state that depends on the changed instances. Restored is set if the
+// changes come from a copy from which the store was restored.
 func (n *Node) instancesChanged(now time.Time, from origin, changed []feed.Item[*fleet.Instance], restored bool) {
 	n.noteInstances(now, from, changed)
 	for _, item := range changed {
@@ -349,7 +353,7 @@
 	}
 }
 
-// HolderName is the daemon that was last heard to hold the lease on orders.
+// HolderName returns the daemon last observed to hold the lease on orders.
 func (n *Node) HolderName() string { return n.holderName }
 
 // Leave begins a planned stop.
@@ -359,5 +363,5 @@
 	return n.take()
 }
 
-// Left reports whether nothing is held any more after Leave.
+// Left reports whether the lease is released after Leave.
 func (n *Node) Left() bool { return n.lease.Left() }
--- a/coordination/orders.go
+++ b/coordination/orders.go
@@ -14,7 +14,7 @@
 	return n.configuration.Services
 }
 
-// loadsPerSecond is the rate of the weight store.
+// loadsPerSecond returns the maximum rate of loads from the weight store.
 func (n *Node) loadsPerSecond() float64 {
 	rate := 0.0
 	for _, service := range n.services() {
@@ -25,28 +25,28 @@
 	return rate
 }
 
-// planSoon plans now, or at the next tick if the last plan was a moment ago: reports
-// and answers of many servers come together, and each plan looks at all of them.
+// planSoon plans now, or at a later tick if the last plan is too recent. Reports and answers of
+// many instances arrive together, and each plan examines all instances.
 func (n *Node) planSoon(now time.Time) {
-	if now.Sub(n.plannedAt) < n.planPause() {
+	if now.Sub(n.plannedAt) < n.planInterval() {
 		n.planDue = true
 		return
 	}
 	n.plan(now)
 }
 
-// planPause is the least time between two plans: each looks at all servers, and with many
-// of them there is always a report to plan for.
-func (n *Node) planPause() time.Duration {
+// planInterval is the minimum interval between two plans. It grows with the number of instances,
+// since each plan examines all of them, and with many there is always a new report to plan for.
+func (n *Node) planInterval() time.Duration {
 	return max(n.settings.PlanPause, time.Duration(len(n.reports))*n.settings.PlanServerPause)
 }
 
-// plan decides which orders to send, if this daemon may send any.
+// plan decides which orders to send, and sends them if this daemon may.
 func (n *Node) plan(now time.Time) {
 	n.plannedAt, n.planDue = now, false
 	n.plans++
 	fence, until, may := n.mayOrder(now)
-	if !may || !n.hearsDemand(now) {
+	if !may || !n.demandCollected(now) {
 		return
 	}
 	n.demand.tick(now, n.settings.DemandHalfLife, n.peers)
@@ -54,13 +54,13 @@
 	for i := range n.configuration.Services {
 		service := &n.configuration.Services[i]
 		if service.Engine != nil {
-			orders = append(orders, n.book.Plan(now, n.planned(service), n.demand.of(service.Name))...)
+			orders = append(orders, n.book.Plan(now, n.plannerService(service), n.demand.of(service.Name))...)
 		}
 	}
 	for _, order := range orders {
 		n.book.Sending(now, order)
 		if !order.Load {
-			n.tellUnload(now, order)
+			n.publishUnload(now, order)
 		}
 		n.decide("orders", "Sent.", "instance", order.Instance, "load", order.Load, "model", order.Model, "adapter", order.Adapter,
 			"from_store", order.FromStore, "expected", order.Expected, "fence", fence, "reason", order.Reason)
@@ -68,12 +68,13 @@
 	}
 }
 
-// planned is a service as the planner needs to know it.
-func (n *Node) planned(service *fleet.Service) *residency.Service {
+// plannerService converts a service into the planner's representation.
+func (n *Node) plannerService(service *fleet.Service) *residency.Service {
 	return &residency.Service{Name: service.Name, Engine: service.Engine, Patience: n.configuration.FirstEventPatience(service.Name)}
 }
 
-// ParkedModels returns the number of models that are parked, as far as this daemon places them.
+// ParkedModels returns the number of parked models, which have no replica because they are idle,
+// among those that this daemon places.
 func (n *Node) ParkedModels() int {
 	if !n.held {
 		return 0
@@ -81,23 +82,24 @@
 	return n.book.Parked()
 }
 
-// tellUnload tells all daemons, before the order leaves, to send no more requests for what is about to go. It doesn't
-// wait for the pause after the last message: the server may decline such requests as soon as it has the order.
-func (n *Node) tellUnload(now time.Time, order residency.Order) {
+// publishUnload notifies all daemons, before the order is sent, not to send requests for what is
+// about to be unloaded. It does not wait for the interval after the last update, since the instance
+// may decline such requests as soon as it has the order.
+func (n *Node) publishUnload(now time.Time, order residency.Order) {
 	n.tellFact(now, now, order.Instance, order.Expected)
 	if n.spreading.due[order.Instance] {
 		n.spread(now)
 	}
 }
 
-// OrderAnswered takes in the end of an order.
+// OrderAnswered processes the outcome of an order.
 func (n *Node) OrderAnswered(now time.Time, order residency.Order, answer residency.Answer) []Action {
 	n.book.Answered(now, order, answer)
 	if answer == residency.AnswerDone {
 		n.tellFact(now, now, order.Instance, order.Expected+1)
 	}
 	if answer != residency.AnswerTaken && answer != residency.AnswerDone {
-		n.decide("orders", "Not taken.", "instance", order.Instance, "model", order.Model, "adapter", order.Adapter, "answer", answer.String())
+		n.decide("orders", "Order not accepted by the instance.", "instance", order.Instance, "model", order.Model, "adapter", order.Adapter, "answer", answer.String())
 	}
 	if answer == residency.AnswerFenced {
 		n.lease.Lost()
--- a/coordination/revision.go
+++ b/coordination/revision.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// revisionCost times the number of daemons is the least time between two revisions of the members that this daemon
-// follows. Ranks, groups, trees and addresses are worked out anew from all members for each of them, and members of a
-// large fleet may change in every tick.
-const revisionCost = 250 * time.Microsecond
+// revisionIntervalPerDaemon times the number of daemons is the minimum interval between two members
+// revisions that this daemon applies. Each revision makes it recompute ranks, groups, trees and
+// addresses from all members, and in a large fleet members may change in every tick.
+const revisionIntervalPerDaemon = 250 * time.Microsecond
 
-// followedRevision is the revision of the members that what follows from them is worked out for.
-type followedRevision struct {
+// appliedRevision is the members revision from which derived state is computed.
+type appliedRevision struct {
 	revision uint64
 	at       time.Time
 }
 
-// MembersRevision changes whenever what is known of the daemons changes; in a large fleet some changes later.
+// MembersRevision returns a number that changes whenever the known state of the daemons changes. In
+// a large fleet it changes with a delay.
 func (n *Node) MembersRevision() uint64 {
-	if n.revisionPause() <= TickEvery {
+	if n.revisionInterval() <= TickEvery {
 		return n.detector.Revision()
 	}
-	return n.followed.revision
+	return n.appliedRevision.revision
 }
 
-// followRevision takes in that the members have changed, if the last time is long enough ago.
-func (n *Node) followRevision(now time.Time) {
-	if now.Sub(n.followed.at) >= n.revisionPause() && n.followed.revision != n.detector.Revision() {
-		n.followed = followedRevision{revision: n.detector.Revision(), at: now}
+// applyRevision applies the detector's revision, if the last one was applied long enough ago.
+func (n *Node) applyRevision(now time.Time) {
+	if now.Sub(n.appliedRevision.at) >= n.revisionInterval() && n.appliedRevision.revision != n.detector.Revision() {
+		n.appliedRevision = appliedRevision{revision: n.detector.Revision(), at: now}
 	}
 }
 
-func (n *Node) revisionPause() time.Duration {
-	return time.Duration(n.detector.LiveCount()) * revisionCost
+func (n *Node) revisionInterval() time.Duration {
+	return time.Duration(n.detector.LiveCount()) * revisionIntervalPerDaemon
 }
--- a/coordination/settings.go
+++ b/coordination/settings.go
@@ -8,81 +8,83 @@
 	"github.com/wheatweir/wheatweir/residency"
 )
 
-// TickEvery is how often a driver has a node do what is due.
+// TickEvery is the interval at which a driver calls Node.Tick.
 const TickEvery = 50 * time.Millisecond
 
-// Settings of a node.
+// Settings configures a node.
 type Settings struct {
 	Member    member.Settings
 	Lease     lease.Settings
 	Residency residency.Settings
-	// ShareEvery is the time between two messages about load, ShareSoon the least time
-	// after a change while there are at most SharePeers others. With more of them the
-	// dispatcher is told of a change TellPause after the last one at the soonest.
+	// ShareEvery is the interval between regular load updates to other daemons. After a change the
+	// minimum interval is ShareSoon while there are at most SharePeers other daemons. In a larger
+	// fleet, changes go to the dispatcher, at a minimum interval of TellPause.
 	ShareEvery time.Duration
 	ShareSoon  time.Duration
 	SharePeers int
 	TellPause  time.Duration
-	// DemandCost times the number of dispatchers is the least time between two messages of
-	// one of them to the holder about the demand for models.
+	// DemandCost times the number of dispatchers is the minimum interval between two demand reports
+	// of one dispatcher to the lease holder.
 	DemandCost time.Duration
-	// ReportEvery is the time between two questions to a model server that is
-	// at rest, or ReportCost for each model server if that is more, ReportSoon after an order.
+	// ReportEvery is the interval between two report requests to an idle instance. It grows to
+	// ReportCost times the number of instances if that is more. ReportSoon is the delay of a report
+	// request after an order.
 	ReportEvery time.Duration
 	ReportCost  time.Duration
 	ReportSoon  time.Duration
-	// SpreadEvery is the time between two messages of the holder to all daemons,
-	// SpreadSoon the least time after a new fact.
+	// SpreadEvery is the interval between two updates of the lease holder to all daemons,
+	// SpreadSoon the minimum interval if there is a new fact.
 	SpreadEvery time.Duration
 	SpreadSoon  time.Duration
-	// FanOut is how many daemons each daemon passes such a message on to.
+	// FanOut is the number of daemons to which each daemon forwards such an update.
 	FanOut int
-	// FactsPatience is how long this daemon may know other facts than the holder
-	// before it asks: longer than it takes until all know which servers are gone.
-	// FactsPause is the least time between two such questions.
+	// FactsPatience is how long this daemon's facts may differ from the holder's before it requests
+	// them. It is longer than it takes until all daemons know which instances are gone. FactsPause
+	// is the minimum interval between two such requests.
 	FactsPatience time.Duration
 	FactsPause    time.Duration
-	// RefreshAfter is how long this daemon may know less than another one before
-	// it lists again.
+	// RefreshAfter is how long another daemon may know of something newer before this one lists the
+	// collection again.
 	RefreshAfter time.Duration
 	// WatchAfter is how long after its start a daemon does not watch the store.
 	WatchAfter time.Duration
-	// Watchers is how many daemons watch the store; the others hear of changes by
-	// them. WatcherSilence is how long none of them may be heard before another
-	// daemon watches too.
+	// Watchers is the number of daemons that watch the store; the others receive changes from them.
+	// WatcherSilence is how long no watching daemon may be observed before another daemon watches
+	// too.
 	Watchers       int
 	WatcherSilence time.Duration
-	// Witnesses is how many daemons that do not watch the store are asked to look at it by
-	// one that does and gets no answer.
+	// Witnesses is the number of daemons not watching the store that a watching daemon asks to read
+	// it when the store does not answer.
 	Witnesses int
-	// RevokeWithin is how long after the store has taken that a key is no longer valid
-	// requests with it may still be served; zero if nothing says so. It is why daemons keep
-	// their configuration sure.
+	// RevokeWithin is how long requests with a revoked key may still be served after the store has
+	// recorded the revocation; zero sets no limit. To meet it, daemons keep verifying that their
+	// configuration is the newest.
 	RevokeWithin time.Duration
-	// FollowsEvacuations says that the operator may evacuate zones: a daemon serves nobody before it knows which.
+	// FollowsEvacuations is set if the operator may evacuate zones, that is, take all their
+	// instances out of use. A daemon then serves no requests before it has received the evacuated
+	// zones.
 	FollowsEvacuations bool
-	// AskPause is the least time between two questions to another daemon.
+	// AskPause is the minimum interval between two requests to another daemon.
 	AskPause time.Duration
-	// ChecksFence says that servers turn away orders with a lower fencing token.
+	// ChecksFence is set if instances reject orders with a lower fencing token.
 	ChecksFence bool
-	// PlanEvery is the time between two plans without a cause, PlanPause the least
-	// time between two plans, and PlanServerPause that time for each server if that is
-	// more.
+	// PlanEvery is the interval between two plans without a cause, PlanPause the minimum interval
+	// between two plans. PlanServerPause times the number of instances replaces PlanPause if that
+	// is more.
 	PlanEvery       time.Duration
 	PlanPause       time.Duration
 	PlanServerPause time.Duration
-	// DemandHalfLife is how fast past demand is forgotten.
+	// DemandHalfLife is the half-life of past demand in the average.
 	DemandHalfLife time.Duration
-	// MaxPeers bounds the daemons of the own zone, and FarPeers those of others, that
-	// this one tells about itself at once in a large fleet if it watches the store or has
-	// a new configuration. At rest it
-	// tells RestPeers of its zone, and one other.
+	// MaxPeers bounds the daemons of the own zone, and FarPeers those of other zones, to which a
+	// load update goes in a large fleet if the sender watches the store or has a new configuration.
+	// Otherwise it goes to RestPeers daemons of the own zone and one of another zone.
 	MaxPeers  int
 	FarPeers  int
 	RestPeers int
 }
 
-// DefaultSettings returns settings for a lease term.
+// DefaultSettings returns the settings for a lease term.
 func DefaultSettings(term time.Duration) Settings {
 	probes := member.DefaultSettings()
 	probes.ProbeInterval = 500 * time.Millisecond
--- a/coordination/share.go
+++ b/coordination/share.go
@@ -9,62 +9,63 @@
 	"github.com/wheatweir/wheatweir/history"
 )
 
-// shareState is what this daemon has told of itself, and what it still has to tell.
-type shareState struct {
-	// due says that the load has changed since all were told, dispatcherDue since the
-	// dispatcher was.
-	due           bool
-	dispatcherDue bool
-	// wanted says that a request has begun to wait for a model since then.
-	wanted       bool
-	at           time.Time
-	dispatcherAt time.Time
-	// modelsAt is when the demand was last told, and modelsTo the holder that heard it.
-	modelsAt time.Time
-	modelsTo string
-	// memberWaits says that a request has begun to wait in this daemon's group since then.
-	memberWaits bool
-	// configuration and evacuations are the versions that were told last.
-	configuration uint64
-	evacuations   history.Place
-	all           balance.LoadDeltas
-	dispatcher    balance.LoadDeltas
-	partners      partners
+// loadUpdateState is what this daemon has sent of its own load, and what is still to be sent.
+type loadUpdateState struct {
+	// changed is set if the load has changed since the last update to other daemons,
+	// dispatcherChanged if it has since the last one to the dispatcher.
+	changed           bool
+	dispatcherChanged bool
+	// newWaiter is set if a request has begun to wait for a model since the last update.
+	newWaiter        bool
+	sentAt           time.Time
+	dispatcherSentAt time.Time
+	// modelsSentAt is when the demand was last sent, and modelsReceiver the lease holder it was
+	// sent to.
+	modelsSentAt   time.Time
+	modelsReceiver string
+	// groupWaiter is set if a request has begun to wait in this daemon's group since modelsSentAt.
+	groupWaiter bool
+	// sentConfiguration and sentEvacuations are the versions in the last update.
+	sentConfiguration uint64
+	sentEvacuations   history.Place
+	broadcastDeltas   balance.LoadDeltas
+	dispatcherDeltas  balance.LoadDeltas
+	partners          partners
 }
 
-// Urgency says why the own load is told.
+// Urgency is the reason for sending the own load.
 type Urgency uint8
 
-// Urgencies, least first.
+// Urgencies, in ascending order.
 const (
-	// UrgencyNone is a regular telling.
+	// UrgencyNone is a regular update.
 	UrgencyNone Urgency = iota
-	// UrgencyLoad says that the load has changed.
+	// UrgencyLoad is sent because the load has changed.
 	UrgencyLoad
-	// UrgencyLacking says that a request has begun to wait for a model or adapter.
+	// UrgencyLacking is sent because a request has begun to wait for a model or adapter.
 	UrgencyLacking
 )
 
-// ObserveOwn takes in what this daemon has in progress, and tells the others. The
-// requests must not be changed afterwards.
+// ObserveOwn records this daemon's requests in progress and its demand, and sends load updates that
+// are due. The caller must not change requests afterwards.
 func (n *Node) ObserveOwn(now time.Time, requests map[string]balance.Load, models []ModelLoad, urgency Urgency) []Action {
 	n.demand.own = models
 	load := n.ownLoad(now, requests)
 	state := &n.sharing
-	state.due = state.due || urgency != UrgencyNone
-	state.dispatcherDue = state.dispatcherDue || urgency != UrgencyNone
-	state.wanted = state.wanted || urgency == UrgencyLacking
-	state.memberWaits = state.memberWaits || urgency == UrgencyLacking
-	n.tellDispatcher(now, load, urgency)
-	n.shareDemand(now)
-	pause := n.settings.ShareEvery
-	if state.due {
-		pause = n.sharePause()
+	state.changed = state.changed || urgency != UrgencyNone
+	state.dispatcherChanged = state.dispatcherChanged || urgency != UrgencyNone
+	state.newWaiter = state.newWaiter || urgency == UrgencyLacking
+	state.groupWaiter = state.groupWaiter || urgency == UrgencyLacking
+	n.updateDispatcher(now, load, urgency)
+	n.reportDemand(now)
+	interval := n.settings.ShareEvery
+	if state.changed {
+		interval = n.loadUpdateInterval()
 	}
 	switch {
-	case now.Sub(state.at) >= pause:
-		n.share(now, load)
-		state.at, state.due, state.wanted = now, false, false
+	case now.Sub(state.sentAt) >= interval:
+		n.sendLoadUpdate(now, load)
+		state.sentAt, state.changed, state.newWaiter = now, false, false
 	case urgency == UrgencyLacking && !n.held && n.TellsAll():
 		demand := load
 		demand.Requests, demand.Changes = nil, true
@@ -76,7 +77,7 @@
 	return n.take()
 }
 
-// ownLoad is what this daemon tells of itself.
+// ownLoad returns the load update of this daemon.
 func (n *Node) ownLoad(now time.Time, requests map[string]balance.Load) Load {
 	load := Load{
 		Requests: requests, Models: n.demand.own, Versions: n.versions(now),
@@ -90,25 +91,25 @@
 	return load
 }
 
-// tellDispatcher tells the dispatcher of this group the own load as soon as it changes, and with it the demand for
-// models from time to time, or at once if a request has begun to wait.
-func (n *Node) tellDispatcher(now time.Time, load Load, urgency Urgency) {
+// updateDispatcher sends the own load to the dispatcher of this group as soon as it changes. It
+// includes the demand for models at each interval, or at once if a request has begun to wait.
+func (n *Node) updateDispatcher(now time.Time, load Load, urgency Urgency) {
 	group, state := n.Group(), &n.sharing
 	if group.Dispatcher == "" || group.Dispatching {
 		return
 	}
 	lacking := urgency == UrgencyLacking
-	changed := state.dispatcherDue && now.Sub(state.dispatcherAt) >= n.settings.TellPause
-	if !lacking && !changed && !state.dispatcher.Due(now) {
+	changed := state.dispatcherChanged && now.Sub(state.dispatcherSentAt) >= n.settings.TellPause
+	if !lacking && !changed && !state.dispatcherDeltas.Due(now) {
 		return
 	}
-	state.dispatcherAt, state.dispatcherDue = now, false
-	load.Requests, load.Changes = state.dispatcher.Next(now, group.Address, load.Requests)
-	// The holder counts its own demand itself.
-	if n.held || !lacking && now.Sub(state.modelsAt) < n.settings.ShareEvery {
+	state.dispatcherSentAt, state.dispatcherChanged = now, false
+	load.Requests, load.Changes = state.dispatcherDeltas.Next(now, group.Address, load.Requests)
+	// The lease holder adds its own demand itself.
+	if n.held || !lacking && now.Sub(state.modelsSentAt) < n.settings.ShareEvery {
 		load.Models, load.NoModels = nil, true
 	} else {
-		state.modelsAt = now
+		state.modelsSentAt = now
 	}
 	if load.NoModels && load.Changes && len(load.Requests) == 0 {
 		return
@@ -116,50 +117,51 @@
 	n.do(SendPeer{Address: group.Address, Message: Message{From: n.self, Load: &load}})
 }
 
-// share tells other daemons about this one. In a small fleet all tell all their loads. In
-// a large one loads and the demand for models go to dispatchers, see shareDemand; what the
-// others need to hear is how new each other's knowledge is, and that some daemons watch the
-// store.
-func (n *Node) share(now time.Time, load Load) {
+// sendLoadUpdate sends load updates to other daemons. In a small fleet each daemon sends its load
+// to all others. In a large one loads and the demand for models go to dispatchers, see
+// reportDemand. The other daemons only receive the versions of the sender's collections, and
+// whether it watches the store.
+func (n *Node) sendLoadUpdate(now time.Time, load Load) {
 	if n.TellsAll() {
-		n.shareWithAll(now, n.others(), load)
+		n.broadcastLoad(now, n.liveOthers(), load)
 		return
 	}
 	load.Requests, load.Changes = nil, true
 	near, far := n.settings.RestPeers, 1
-	news := load.Versions.Configuration != n.sharing.configuration || load.Versions.Evacuations != n.sharing.evacuations
-	if load.Watching || news {
-		// Instances change all the time: of these the daemons that watch tell many.
+	versionsChanged := load.Versions.Configuration != n.sharing.sentConfiguration || load.Versions.Evacuations != n.sharing.sentEvacuations
+	if load.Watching || versionsChanged {
+		// Instances change all the time, so only daemons that watch the store send their version to
+		// many.
 		near, far = n.settings.MaxPeers, n.settings.FarPeers
 	}
-	n.sharing.configuration, n.sharing.evacuations = load.Versions.Configuration, load.Versions.Evacuations
+	n.sharing.sentConfiguration, n.sharing.sentEvacuations = load.Versions.Configuration, load.Versions.Evacuations
 	load.Models, load.NoModels = nil, true
 	n.sendAll(n.sharePeers(now, load.Watching, near, far), Message{From: n.self, Load: &load})
 }
 
-// shareWithAll tells all daemons of a small fleet what has changed of the own load. The
-// demand for models changes less, and goes with it from time to time or if a request has
-// begun to wait.
-func (n *Node) shareWithAll(now time.Time, others []string, load Load) {
+// broadcastLoad sends the changes of the own load to all daemons of a small fleet. The demand for
+// models changes less often. It is included at each interval, or if a request has begun to wait.
+func (n *Node) broadcastLoad(now time.Time, others []string, load Load) {
 	state := &n.sharing
 	receivers := strconv.FormatUint(n.MembersRevision(), 16)
-	load.Requests, load.Changes = state.all.Next(now, receivers, load.Requests)
-	if state.wanted || now.Sub(state.modelsAt) >= n.settings.ShareEvery {
-		state.modelsAt = now
+	load.Requests, load.Changes = state.broadcastDeltas.Next(now, receivers, load.Requests)
+	if state.newWaiter || now.Sub(state.modelsSentAt) >= n.settings.ShareEvery {
+		state.modelsSentAt = now
 	} else {
 		load.Models, load.NoModels = nil, true
 	}
 	n.sendAll(others, Message{From: n.self, Load: &load})
 }
 
-// others are the live daemons but this one.
-func (n *Node) others() []string {
+// liveOthers returns the live daemons except this one.
+func (n *Node) liveOthers() []string {
 	return slices.DeleteFunc(slices.Clone(n.detector.Live()), func(name string) bool { return name == n.self })
 }
 
-// sharePause is the least time between two messages to all, or to those that a message
-// goes to in a large fleet: there the dispatcher is told at once.
-func (n *Node) sharePause() time.Duration {
+// loadUpdateInterval is the minimum interval between two load updates to other daemons after a
+// change. In a large fleet it is the regular interval, since the dispatcher receives changes at
+// once.
+func (n *Node) loadUpdateInterval() time.Duration {
 	if n.detector.LiveCount()-1 <= n.settings.SharePeers {
 		return n.settings.ShareSoon
 	}
--- a/coordination/sharedemand.go
+++ b/coordination/sharedemand.go
@@ -2,38 +2,40 @@
 
 import "time"
 
-// lackingPause is the least time between two messages to the holder about the demand while requests wait.
-const lackingPause = 20 * time.Millisecond
+// waitingDemandInterval is the minimum interval between two demand reports to the lease holder
+// while requests wait.
+const waitingDemandInterval = 20 * time.Millisecond
 
-// shareDemand tells the holder of the lease, who places models, the demand for them. In a large fleet each dispatcher
-// tells that of its whole group, so what the holder hears grows with the groups and not with the daemons.
-func (n *Node) shareDemand(now time.Time) {
+// reportDemand reports the demand for models to the lease holder, which places models. In a large
+// fleet each dispatcher reports the sum over its group, so the number of reports to the holder
+// grows with the groups and not with the daemons.
+func (n *Node) reportDemand(now time.Time) {
 	group, state := n.Group(), &n.sharing
 	member := group.Dispatcher != "" && !group.Dispatching
 	if n.TellsAll() || n.held || member {
 		return
 	}
-	since := now.Sub(state.modelsAt)
-	due := since >= n.demandPause() || state.modelsTo != n.holderName || state.memberWaits && since >= lackingPause
+	since := now.Sub(state.modelsSentAt)
+	due := since >= n.demandInterval() || state.modelsReceiver != n.holderName || state.groupWaiter && since >= waitingDemandInterval
 	if _, known := n.detector.Lookup(n.holderName); !known || !due {
 		return
 	}
-	state.modelsAt, state.modelsTo, state.memberWaits = now, n.holderName, false
+	state.modelsSentAt, state.modelsReceiver, state.groupWaiter = now, n.holderName, false
 	load := n.ownLoad(now, nil)
 	load.Changes = true
-	load.Models = n.groupDemand(now, group)
+	load.Models = n.sumGroupDemand(now, group)
 	n.sendAll([]string{n.holderName}, Message{From: n.self, Load: &load})
 }
 
-// groupDemand is the demand of this daemon and of the members of its group.
-func (n *Node) groupDemand(now time.Time, group *Group) []ModelLoad {
+// sumGroupDemand returns the demand of this daemon and the members of its group.
+func (n *Node) sumGroupDemand(now time.Time, group *Group) []ModelLoad {
 	sums := map[modelKey]ModelLoad{}
 	for _, load := range n.demand.own {
 		addLoad(sums, load)
 	}
 	for _, name := range group.Members {
-		if heard, found := n.peers[name]; found {
-			heard.addDemand(now, sums)
+		if peer, found := n.peers[name]; found {
+			peer.addDemand(now, sums)
 		}
 	}
 	loads := make([]ModelLoad, 0, len(sums))
@@ -44,38 +46,40 @@
 	return loads
 }
 
-// demandPause is the least time between two messages of one dispatcher to the holder about the demand.
-func (n *Node) demandPause() time.Duration {
+// demandInterval is the minimum interval between two demand reports of one dispatcher to the lease
+// holder.
+func (n *Node) demandInterval() time.Duration {
 	return max(n.settings.ShareEvery, time.Duration(n.Group().Count)*n.settings.DemandCost)
 }
 
-// demandRounds is how many times each dispatcher tells of its demand while a new holder waits for it: one message may
-// be lost, or have gone to the holder before.
-const demandRounds = 2
+// demandCollectionIntervals is the number of report intervals for which a new lease holder collects
+// demand. One report of a dispatcher may be lost, or may have gone to the former holder.
+const demandCollectionIntervals = 2
 
-// demandWait is how long a new holder waits for the demand for models. In a small fleet it has heard all along; in a
-// large one only the holder is told of it, and a plan without demand would take away the replicas that are needed most.
-func (n *Node) demandWait() time.Duration {
+// demandCollectionDelay is how long a new lease holder collects demand before it plans. In a small
+// fleet every daemon has received it all along. In a large one only the holder receives it, and a
+// plan without demand would remove the replicas that are needed most.
+func (n *Node) demandCollectionDelay() time.Duration {
 	if n.TellsAll() {
 		return 0
 	}
-	return demandRounds * n.demandPause()
+	return demandCollectionIntervals * n.demandInterval()
 }
 
-// AwaitsDemand reports whether this daemon has taken the lease and places no models yet because it waits for the
-// demand.
-func (n *Node) AwaitsDemand() bool { return n.held && !n.demandDueAt.IsZero() }
+// AwaitsDemand reports whether this daemon has taken the lease but places no models yet, because it
+// still collects demand.
+func (n *Node) AwaitsDemand() bool { return n.held && !n.demandWaitUntil.IsZero() }
 
-// hearsDemand reports whether a new holder has heard the demand. It then counts in full: what was seen so far is not a
-// trend.
-func (n *Node) hearsDemand(now time.Time) bool {
-	if n.demandDueAt.IsZero() {
+// demandCollected reports whether a new lease holder has collected the demand. The collected demand
+// then counts in full, since the values before it are not a trend.
+func (n *Node) demandCollected(now time.Time) bool {
+	if n.demandWaitUntil.IsZero() {
 		return true
 	}
-	if now.Before(n.demandDueAt) {
+	if now.Before(n.demandWaitUntil) {
 		return false
 	}
-	n.demandDueAt = time.Time{}
-	n.demand.adopt()
+	n.demandWaitUntil = time.Time{}
+	n.demand.skipSmoothing()
 	return true
 }
--- a/coordination/spread.go
+++ b/coordination/spread.go
@@ -2,58 +2,59 @@
 
 import "time"
 
-// spreadState is what the holder of the lease has to tell all daemons, and what this
-// daemon has heard of other holders.
-type spreadState struct {
+// holderUpdateState holds what the lease holder has to send to all daemons, and what this daemon
+// has received from other holders.
+type holderUpdateState struct {
 	boot     uint64
 	sequence uint64
 	sentAt   time.Time
-	// due lists the instances whose fact is new.
+	// due lists the instances with new facts to send.
 	due map[string]bool
-	// heard is the newest message of each holder.
-	heard map[string]heardSpread
-	// differsSince is since when the newest holder knows other facts.
-	differsSince time.Time
-	askedAt      time.Time
+	// received holds the number of the latest update of each holder.
+	received map[string]updateNumber
+	// digestDiffersSince is since when the facts of the newest holder differ from those of this
+	// daemon.
+	digestDiffersSince time.Time
+	factsRequestedAt   time.Time
 }
 
-type heardSpread struct{ boot, sequence uint64 }
+type updateNumber struct{ boot, sequence uint64 }
 
-func newSpreadState(boot uint64) spreadState {
-	return spreadState{boot: boot, due: map[string]bool{}, heard: map[string]heardSpread{}}
+func newHolderUpdateState(boot uint64) holderUpdateState {
+	return holderUpdateState{boot: boot, due: map[string]bool{}, received: map[string]updateNumber{}}
 }
 
-// tickSpread tells all daemons what is due, if this daemon holds the lease.
-func (n *Node) tickSpread(now time.Time) {
+// tickHolderUpdates sends an update to all daemons if one is due and this daemon holds the lease.
+func (n *Node) tickHolderUpdates(now time.Time) {
 	if !n.held {
 		clear(n.spreading.due)
 		return
 	}
-	pause := n.settings.SpreadEvery
+	interval := n.settings.SpreadEvery
 	if len(n.spreading.due) > 0 {
-		pause = n.settings.SpreadSoon
+		interval = n.settings.SpreadSoon
 	}
-	if now.Sub(n.spreading.sentAt) >= pause {
+	if now.Sub(n.spreading.sentAt) >= interval {
 		n.spread(now)
 	}
 }
 
-// spread begins a message to all daemons.
+// spread sends an update to all daemons, if this daemon may send orders.
 func (n *Node) spread(now time.Time) {
 	fence, _, may := n.mayOrder(now)
 	if !may {
 		return
 	}
-	n.spreadAs(now, fence, false)
+	n.sendHolderUpdateAs(now, fence, false)
 }
 
-// spreadReleased tells all daemons that this one has handed the lease back.
-func (n *Node) spreadReleased(now time.Time) {
+// sendRelease notifies all daemons that this one has released the lease.
+func (n *Node) sendRelease(now time.Time) {
 	fence, _ := n.lease.Retained()
-	n.spreadAs(now, fence, true)
+	n.sendHolderUpdateAs(now, fence, true)
 }
 
-func (n *Node) spreadAs(now time.Time, fence uint64, released bool) {
+func (n *Node) sendHolderUpdateAs(now time.Time, fence uint64, released bool) {
 	state := &n.spreading
 	state.sentAt = now
 	state.sequence++
@@ -67,70 +68,70 @@
 		}
 	}
 	clear(state.due)
-	n.passOn(message)
+	n.forwardHolderUpdate(message)
 }
 
-// passOn sends a message of the holder to the daemons below this one.
-func (n *Node) passOn(message *Spread) {
+// forwardHolderUpdate sends an update of the lease holder to the daemons below this one.
+func (n *Node) forwardHolderUpdate(message *Spread) {
 	n.passBelow(message.Root, message.Sequence, Message{From: n.self, Spread: message})
 }
 
-// passBelow sends a message to the daemons below this one in the tree of its root.
+// passBelow sends a message to this daemon's children in the multicast tree of the message's root.
 func (n *Node) passBelow(root string, sequence uint64, message Message) {
-	if revision := n.MembersRevision(); n.forwarding == nil || revision != n.forwardingAt {
-		n.forwarding, n.forwardingAt = newForwarding(n.detector.Members()), revision
+	if revision := n.MembersRevision(); n.trees == nil || revision != n.treesRevision {
+		n.trees, n.treesRevision = newMulticastTrees(n.detector.Members()), revision
 	}
-	n.sendAll(n.forwarding.below(n.self, root, sequence, n.settings.FanOut), message)
+	n.sendAll(n.trees.childrenOf(n.self, root, sequence, n.settings.FanOut), message)
 }
 
-// takeSpread takes in a message of the holder and passes it on, if it is newer than
-// the last one: trees that differ for a moment then can't send it round for ever.
-func (n *Node) takeSpread(now time.Time, message Message) {
-	told := message.Spread
-	heard := n.spreading.heard[told.Root]
-	if told.Root == n.self || heard.boot == told.Boot && told.Sequence <= heard.sequence {
+// receiveHolderUpdate processes an update of the lease holder and forwards it, if it is newer than
+// the last one. The check prevents loops while daemons compute different trees for a moment.
+func (n *Node) receiveHolderUpdate(now time.Time, message Message) {
+	update := message.Spread
+	last := n.spreading.received[update.Root]
+	if update.Root == n.self || last.boot == update.Boot && update.Sequence <= last.sequence {
 		return
 	}
-	n.spreading.heard[told.Root] = heardSpread{told.Boot, told.Sequence}
-	for _, fact := range told.Facts {
-		n.learn(fact, now.Add(-fact.Age))
+	n.spreading.received[update.Root] = updateNumber{update.Boot, update.Sequence}
+	for _, entry := range update.Facts {
+		n.learn(entry, now.Add(-entry.Age))
 	}
-	if told.Released {
-		n.heardReleased(now, told.Root, told.Fence, told.Lease)
+	if update.Released {
+		n.observeRelease(now, update.Root, update.Fence, update.Lease)
 	} else {
-		n.heardHolder(now, told.Root, told.Fence, told.Lease)
+		n.observeHolder(now, update.Root, update.Fence, update.Lease)
 	}
-	n.compareFacts(now, told)
-	n.passOn(told)
+	n.checkFactsDigest(now, update)
+	n.forwardHolderUpdate(update)
 }
 
-// compareFacts asks the holder for all facts if this daemon has known others for a
-// while: a message was lost, or it has just started.
-func (n *Node) compareFacts(now time.Time, told *Spread) {
+// checkFactsDigest requests all facts from the lease holder if those of this daemon have differed
+// for a while. Then an update was lost, or this daemon has just started.
+func (n *Node) checkFactsDigest(now time.Time, update *Spread) {
 	state := &n.spreading
-	if told.Digest == n.facts.digest {
-		state.differsSince = time.Time{}
+	if update.Digest == n.facts.digest {
+		state.digestDiffersSince = time.Time{}
 		return
 	}
-	if state.differsSince.IsZero() {
-		state.differsSince = now
+	if state.digestDiffersSince.IsZero() {
+		state.digestDiffersSince = now
 	}
-	patience := n.settings.FactsPatience
+	delay := n.settings.FactsPatience
 	if len(n.facts.byInstance) == 0 {
-		// This daemon has just started.
-		patience = 0
+		// This daemon has just started, so it requests the facts at once.
+		delay = 0
 	}
-	if now.Sub(state.differsSince) < patience || now.Sub(state.askedAt) < n.settings.FactsPause {
+	if now.Sub(state.digestDiffersSince) < delay || now.Sub(state.factsRequestedAt) < n.settings.FactsPause {
 		return
 	}
-	state.askedAt = now
-	if root, found := n.detector.Lookup(told.Root); found {
+	state.factsRequestedAt = now
+	if root, found := n.detector.Lookup(update.Root); found {
 		n.do(SendPeer{Address: root.PeerAddress, Message: Message{From: n.self, AskFacts: true}})
 	}
 }
 
-// answerFacts tells one daemon all facts, if this daemon holds the lease.
-func (n *Node) answerFacts(now time.Time, from string) {
+// sendAllFacts sends all facts to one daemon, if this daemon holds the lease.
+func (n *Node) sendAllFacts(now time.Time, from string) {
 	if other, found := n.detector.Lookup(from); found && n.held {
 		n.do(SendPeer{Address: other.PeerAddress, Message: Message{From: n.self, Facts: n.allFacts(now)}})
 	}
--- a/coordination/tree_test.go
+++ b/coordination/tree_test.go
@@ -22,7 +22,7 @@
 
 // spreadOver passes a message from the root on, and returns how often each member got it and how
 // many times it went from one zone to another. Silent members pass nothing on.
-func spreadOver(f *forwarding, root string, sequence uint64, fanOut int, silent map[string]bool) (got map[string]int, crossings int) {
+func spreadOver(trees *multicastTrees, root string, sequence uint64, fanOut int, silent map[string]bool) (got map[string]int, crossings int) {
 	got = map[string]int{}
 	queue := []string{root}
 	for len(queue) > 0 {
@@ -31,9 +31,9 @@
 		if silent[name] {
 			continue
 		}
-		for _, next := range f.below(name, root, sequence, fanOut) {
+		for _, next := range trees.childrenOf(name, root, sequence, fanOut) {
 			got[next]++
-			if f.zoneOf[next] != f.zoneOf[name] {
+			if trees.zoneOf[next] != trees.zoneOf[name] {
 				crossings++
 			}
 			queue = append(queue, next)
@@ -49,10 +49,10 @@
 	const fanOut = 8
 	for _, fleet := range []struct{ count, zones int }{{1, 1}, {2, 2}, {9, 3}, {10, 3}, {30, 1}, {71, 3}, {295, 5}, {40, 20}} {
 		all := members(fleet.count, fleet.zones)
-		f := newForwarding(all)
+		trees := newMulticastTrees(all)
 		for _, root := range all {
 			for sequence := range uint64(treeVariants) {
-				got, crossings := spreadOver(f, root.Name, sequence, fanOut, nil)
+				got, crossings := spreadOver(trees, root.Name, sequence, fanOut, nil)
 				if len(got) != fleet.count-1 || got[root.Name] != 0 {
 					t.Fatalf("%+v, root %s: %d members got it, the root %d times", fleet, root.Name, len(got), got[root.Name])
 				}
@@ -73,7 +73,7 @@
 // misses the messages of all variants, so that what one tree keeps from it comes by the next.
 func TestSilentMemberHoldsUpFewMessages(t *testing.T) {
 	all := members(295, 5)
-	f := newForwarding(all)
+	trees := newMulticastTrees(all)
 	const root = "d017"
 	for _, silent := range all {
 		if silent.Name == root {
@@ -81,7 +81,7 @@
 		}
 		got := map[string]int{}
 		for sequence := range uint64(treeVariants) {
-			reached, _ := spreadOver(f, root, sequence, 8, map[string]bool{silent.Name: true})
+			reached, _ := spreadOver(trees, root, sequence, 8, map[string]bool{silent.Name: true})
 			for name := range reached {
 				got[name]++
 			}
@@ -97,11 +97,11 @@
 // TestHeavyMachinesPassOnMore compares how many messages a heavy machine and a light one pass on.
 func TestHeavyMachinesPassOnMore(t *testing.T) {
 	all := members(295, 5)
-	f := newForwarding(all)
+	trees := newMulticastTrees(all)
 	sent := map[int]int{}
 	for sequence := range uint64(treeVariants) {
 		for _, known := range all {
-			sent[known.Weight] += len(f.below(known.Name, "d000", sequence, 8))
+			sent[known.Weight] += len(trees.childrenOf(known.Name, "d000", sequence, 8))
 		}
 	}
 	if heavy, light := float64(sent[800])/15, float64(sent[192])/280; heavy < 4*light {
@@ -112,7 +112,7 @@
 func TestDeadMembersAreLeftOut(t *testing.T) {
 	all := members(30, 3)
 	all[5].State, all[7].State = member.Dead, member.Suspect
-	got, _ := spreadOver(newForwarding(all), "d000", 1, 8, nil)
+	got, _ := spreadOver(newMulticastTrees(all), "d000", 1, 8, nil)
 	if len(got) != 28 || got["d005"] != 0 || got["d007"] != 1 {
 		t.Errorf("%d got it, the dead one %d times, the suspected one %d times", len(got), got["d005"], got["d007"])
 	}
@@ -120,8 +120,8 @@
 
 func BenchmarkPassOn(b *testing.B) {
 	all := members(295, 5)
-	f := newForwarding(all)
+	trees := newMulticastTrees(all)
 	for b.Loop() {
-		f.below("d000", "d000", 1, 8)
+		trees.childrenOf("d000", "d000", 1, 8)
 	}
 }
