--- a/coordination/demand.go
+++ b/coordination/demand.go
@@ -14,10 +14,10 @@
 
 // demandState holds the demand of all daemons for each model.
 type demandState struct {
-	own       []ModelLoad
-	smoothed  map[modelKey]float64
-	current   map[string]map[string]residency.Demand
-	updatedAt time.Time
+	own      []ModelLoad
+	smoothed map[modelKey]float64
+	current  map[string]map[string]residency.Demand
+	at       time.Time
 	// smoothingSkipped makes the next average the demand received until then.
 	smoothingSkipped bool
 }
@@ -46,10 +46,10 @@
 		peer.addDemand(now, sums)
 	}
 	elapsed := 0.0
-	if !d.updatedAt.IsZero() {
-		elapsed = now.Sub(d.updatedAt).Seconds() / halfLife.Seconds()
+	if !d.at.IsZero() {
+		elapsed = now.Sub(d.at).Seconds() / halfLife.Seconds()
 	}
-	d.updatedAt = now
+	d.at = now
 	for key := range sums {
 		d.smoothed[key] += 0
 	}
--- a/coordination/holder.go
+++ b/coordination/holder.go
@@ -18,8 +18,8 @@
 	if !n.Known() {
 		return
 	}
-	_, _, mayOrder := n.mayOrder(now)
-	held := n.lease.Held(now) || mayOrder
+	_, _, ordersAllowed := n.mayOrder(now)
+	held := n.lease.Held(now) || ordersAllowed
 	if held != n.held {
 		n.held = held
 		n.leaseChanged(now)
--- a/coordination/node.go
+++ b/coordination/node.go
@@ -38,11 +38,11 @@
 	eras    eraState
 	// departures records which instances have left, whatever the store shows after a restore from a
 	// copy.
-	departures      departures
-	departuresAt    time.Time
-	questions       []question
-	loggedMembers   map[string]loggedMember
-	appliedRevision appliedRevision
+	departures    departures
+	departuresAt  time.Time
+	questions     []question
+	loggedMembers map[string]loggedMember
+	applied       appliedRevision
 	// memberNews and instanceNews are changes that have not been logged yet.
 	memberNews     newsList
 	instanceNews   newsList
@@ -152,8 +152,8 @@
 // Holds reports whether this daemon holds the lease on orders, or may send orders during a store
 // outage as its last holder.
 func (n *Node) Holds(now time.Time) bool {
-	_, _, mayOrder := n.mayOrder(now)
-	return n.lease.Held(now) || mayOrder
+	_, _, ordersAllowed := n.mayOrder(now)
+	return n.lease.Held(now) || ordersAllowed
 }
 
 // Tick runs all periodic work that is due.
@@ -176,7 +176,7 @@
 	if n.planDue && now.Sub(n.plannedAt) >= n.planInterval() || now.Sub(n.plannedAt) >= n.settings.PlanEvery {
 		n.plan(now)
 	}
-	if now.Sub(n.demand.updatedAt) >= n.settings.PlanEvery {
+	if now.Sub(n.demand.at) >= n.settings.PlanEvery {
 		// The demand is also averaged without orders to send, so that a new lease holder has the
 		// past demand.
 		n.demand.tick(now, n.settings.DemandHalfLife, n.peers)
--- a/coordination/revision.go
+++ b/coordination/revision.go
@@ -19,13 +19,13 @@
 	if n.revisionInterval() <= TickEvery {
 		return n.detector.Revision()
 	}
-	return n.appliedRevision.revision
+	return n.applied.revision
 }
 
 // applyRevision applies the detector's revision, if the last one was applied long enough ago.
 func (n *Node) applyRevision(now time.Time) {
-	if now.Sub(n.appliedRevision.at) >= n.revisionInterval() && n.appliedRevision.revision != n.detector.Revision() {
-		n.appliedRevision = appliedRevision{revision: n.detector.Revision(), at: now}
+	if now.Sub(n.applied.at) >= n.revisionInterval() && n.applied.revision != n.detector.Revision() {
+		n.applied = appliedRevision{revision: n.detector.Revision(), at: now}
 	}
 }
 
--- a/coordination/spread.go
+++ b/coordination/spread.go
@@ -88,8 +88,8 @@
 // the last one. The check prevents loops while daemons compute different trees for a moment.
 func (n *Node) receiveHolderUpdate(now time.Time, message Message) {
 	update := message.Spread
-	last := n.spreading.received[update.Root]
-	if update.Root == n.self || last.boot == update.Boot && update.Sequence <= last.sequence {
+	received := n.spreading.received[update.Root]
+	if update.Root == n.self || received.boot == update.Boot && update.Sequence <= received.sequence {
 		return
 	}
 	n.spreading.received[update.Root] = updateNumber{update.Boot, update.Sequence}
