--- a/coordination/groups_test.go
+++ b/coordination/groups_test.go
@@ -10,9 +10,9 @@
 	"github.com/wheatweir/wheatweir/member"
 )
 
-// TestDispatchersHearOfEveryChange covers nodes of four zones whose load changes all the
-// time: each has a live dispatcher in its zone, which hears of it at each change; all
-// agree who leads whom; the others tell only some nodes, and less often.
+// TestDispatchersHearOfEveryChange covers nodes of four zones whose load changes all the time. Each
+// has a live dispatcher in its zone, which receives an update for each change. All nodes agree on
+// the groups, and send updates to few other nodes, and less often.
 func TestDispatchersHearOfEveryChange(t *testing.T) {
 	w := newWorld(manyNodes)
 	w.learn()
@@ -33,23 +33,23 @@
 		if group.Dispatching {
 			dispatchers++
 			if len(group.Others) != 3 {
-				t.Errorf("%s knows %d other dispatchers", name, len(group.Others))
+				t.Errorf("%s lists %d other dispatchers", name, len(group.Others))
 			}
 			continue
 		}
 		leader := w.nodes[group.Dispatcher]
 		if leader == nil || !leader.Group().Dispatching || !leader.Group().Leads(name) {
-			t.Fatalf("%s follows %q, which does not lead it", name, group.Dispatcher)
+			t.Fatalf("%s has the dispatcher %q, which does not have it as a member", name, group.Dispatcher)
 		}
 		if backup := w.nodes[group.Backup]; backup == nil || !backup.Group().Dispatching || group.Backup == group.Dispatcher {
-			t.Errorf("%s asks %q while %s does not answer", name, group.Backup, group.Dispatcher)
+			t.Errorf("%s has the backup %q, its dispatcher is %s", name, group.Backup, group.Dispatcher)
 		}
 		var place int
 		if _, err := fmt.Sscanf(group.Dispatcher, "n%d", &place); err != nil || place%4 != i%4 {
-			t.Errorf("%s follows %s of another zone", name, group.Dispatcher)
+			t.Errorf("%s has the dispatcher %s of another zone", name, group.Dispatcher)
 		}
-		if heard := w.heardLoad[[2]string{name, group.Dispatcher}]; heard < changes {
-			t.Errorf("%s heard %d times of %s at %d changes", group.Dispatcher, heard, name, changes)
+		if received := w.heardLoad[[2]string{name, group.Dispatcher}]; received < changes {
+			t.Errorf("%s received %d load updates of %s for %d changes", group.Dispatcher, received, name, changes)
 		}
 		if sent := w.messages[name]; sent > 500 {
 			t.Errorf("%s sent %d messages in two seconds", name, sent)
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestLostDispatcherIsReplaced covers a dispatcher that goes off.
+// TestLostDispatcherIsReplaced covers a dispatcher that fails.
 func TestLostDispatcherIsReplaced(t *testing.T) {
 	w := newWorld(manyNodes)
 	w.learn()
@@ -73,13 +73,13 @@
 			continue
 		}
 		if now := w.nodes[name].Group().Dispatcher; now == lost || now == "" {
-			t.Errorf("%s follows %q after %s went off", name, now, lost)
+			t.Errorf("%s has the dispatcher %q after the failure of %s", name, now, lost)
 		}
 	}
 }
 
-// TestDutiesGoToHeavierMachinesFirst covers a fleet of unlike machines: the lease on orders
-// and the choices for each group go to the few strong ones.
+// TestDutiesGoToHeavierMachinesFirst covers a fleet of machines of different weight. The lease on
+// orders and the dispatching for each group go to the few heavy ones.
 func TestDutiesGoToHeavierMachinesFirst(t *testing.T) {
 	w := newWorld(manyNodes)
 	strong := func(i int) bool { return i%4 == i/4%4 && i < 16 }
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestSmallFleetHasNoGroups: there all tell all.
+// TestSmallFleetHasNoGroups covers a fleet in which each daemon sends its load to all others.
 func TestSmallFleetHasNoGroups(t *testing.T) {
 	w := newWorld(9)
 	w.learn()
@@ -116,18 +116,18 @@
 	}
 }
 
-// TestFewNodesWatchInALargeFleet covers nodes that seldom hear those that watch the store
-// themselves: they hear of them by others, and do not begin to watch too, as each watch is
-// priced.
+// TestFewNodesWatchInALargeFleet covers nodes that seldom receive messages directly from those that
+// watch the store. They receive evidence of them through others and must not start to watch too,
+// since each watch is priced.
 func TestFewNodesWatchInALargeFleet(t *testing.T) {
 	w := newWorld(manyNodes)
 	w.learn()
 	w.run(8 * time.Second)
-	most := coordination.DefaultSettings(term).Watchers
+	maxWatching := coordination.DefaultSettings(term).Watchers
 	for range 100 {
 		w.run(50 * time.Millisecond)
-		if watching := w.watching(); watching > most {
-			t.Fatalf("%d nodes watch the store, %d are enough", watching, most)
+		if watching := w.watching(); watching > maxWatching {
+			t.Fatalf("%d nodes watch the store, want at most %d", watching, maxWatching)
 		}
 	}
 }
--- a/coordination/holder_test.go
+++ b/coordination/holder_test.go
@@ -23,32 +23,32 @@
 	}
 }
 
-// TestTakeover covers a holder that dies and one that is cut off from the store:
-// another node holds the lease a term after the last renewal, and never before.
+// TestTakeover covers a lease holder that fails and one that is cut off from the store. Another
+// node takes the lease a term after the last renewal, and never before.
 func TestTakeover(t *testing.T) {
-	for name, strike := range map[string]func(*world, string){
-		"dies":                 func(w *world, holder string) { w.dead[holder] = true },
-		"is cut off the store": func(w *world, holder string) { w.storeCut[holder] = true },
+	for name, inject := range map[string]func(*world, string){
+		"dies":                      func(w *world, holder string) { w.dead[holder] = true },
+		"is cut off from the store": func(w *world, holder string) { w.storeCut[holder] = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(4)
 			w.learn()
 			w.run(5 * time.Second)
 			first := w.holders()[0]
-			strike(w, first)
-			struck := w.now
-			for w.now.Sub(struck) < 4*term {
+			inject(w, first)
+			injectedAt := w.now
+			for w.now.Sub(injectedAt) < 4*term {
 				w.run(50 * time.Millisecond)
 				if holders := w.holders(); len(holders) > 1 {
 					t.Fatalf("holders %v", holders)
 				} else if len(holders) == 1 && holders[0] != first {
-					if took := w.now.Sub(struck); took > term+time.Second {
+					if took := w.now.Sub(injectedAt); took > term+time.Second {
 						t.Fatalf("taken over after %v", took)
 					}
 					return
 				}
 			}
-			t.Fatal("nobody took over")
+			t.Fatal("no node took over the lease")
 		})
 	}
 }
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestLeaseThatWasHandedBackIsTakenAtOnce covers planned stops, in small and large fleets:
-// nobody waits until the holder has been silent for a while.
+// TestLeaseThatWasHandedBackIsTakenAtOnce covers planned stops in small and large fleets. After a
+// release no node waits until the former holder has been silent for a while.
 func TestLeaseThatWasHandedBackIsTakenAtOnce(t *testing.T) {
 	for _, size := range []int{3, manyNodes} {
 		w := newWorld(size)
@@ -77,7 +77,7 @@
 			w.perform(first, w.nodes[first].Leave())
 			w.run(600 * time.Millisecond)
 			if holders := w.holders(); len(holders) != 1 || holders[0] == first {
-				t.Errorf("%d nodes, stop %d: 0.6 s after %s left the holders are %v", size, stop, first, holders)
+				t.Errorf("%d nodes, stop %d: 0.6 s after the stop of %s the holders are %v", size, stop, first, holders)
 			}
 			w.dead[first] = true
 			w.run(2 * time.Second)
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestStoreRateHoldsAcrossTakeover covers a holder that has just used up the weight
-// store's rate and dies: its successor does not begin with a fresh window.
+// TestStoreRateHoldsAcrossTakeover covers a lease holder that fails right after it has used up the
+// weight store's rate. Its successor must not start with an empty window.
 func TestStoreRateHoldsAcrossTakeover(t *testing.T) {
 	w := newWorld(3)
 	configuration := engineConfiguration(1)
@@ -132,9 +132,9 @@
 	}
 }
 
-// TestHolderGoesOnWhileTheStoreIsAwayForAll covers an outage that is longer than the
-// term: the holder goes on as long as no live daemon reaches the store, and stops if
-// one does, since that one may take the lease over.
+// TestHolderGoesOnWhileTheStoreIsAwayForAll covers a store outage that is longer than the term. The
+// lease holder continues as long as no live daemon reaches the store. It stops if one does, since
+// that one may take the lease.
 func TestHolderGoesOnWhileTheStoreIsAwayForAll(t *testing.T) {
 	for _, reaches := range []bool{false, true} {
 		w := newWorld(3)
@@ -158,7 +158,7 @@
 				t.Fatalf("holders %v", holders)
 			}
 			if !reaches && (len(holders) != 1 || holders[0] != first) {
-				t.Fatalf("%v after the store went away, holders %v", w.now.Sub(cut), holders)
+				t.Fatalf("%v after the store became unavailable, holders %v", w.now.Sub(cut), holders)
 			}
 		}
 		if holders := w.holders(); reaches && (len(holders) != 1 || holders[0] == first) {
@@ -167,8 +167,8 @@
 	}
 }
 
-// TestHolderThatStandsAsideIsReplaced guards against a holder that reaches no model server and keeps the lease: nobody
-// sends orders meanwhile. All candidates but one stand aside.
+// TestHolderThatStandsAsideIsReplaced guards against a lease holder that reaches no instance and
+// keeps the lease, so that no node sends orders meanwhile. All candidates but one yield the lease.
 func TestHolderThatStandsAsideIsReplaced(t *testing.T) {
 	for _, size := range []int{4, manyNodes} {
 		w := newWorld(size)
--- a/coordination/messages_test.go
+++ b/coordination/messages_test.go
@@ -11,45 +11,47 @@
 	"github.com/wheatweir/wheatweir/coordination"
 )
 
-// formOf writes down a type as the encoder sees it: names, tags and types of the fields.
-func formOf(t reflect.Type, seen map[reflect.Type]bool, into *strings.Builder) {
+// describeFormat writes a type as the encoder treats it: names, tags and types of the fields.
+func describeFormat(t reflect.Type, seen map[reflect.Type]bool, out *strings.Builder) {
 	switch t.Kind() {
 	case reflect.Pointer, reflect.Slice:
-		fmt.Fprintf(into, "%s ", t.Kind())
-		formOf(t.Elem(), seen, into)
+		fmt.Fprintf(out, "%s ", t.Kind())
+		describeFormat(t.Elem(), seen, out)
 	case reflect.Map:
-		fmt.Fprintf(into, "map %s ", t.Key())
-		formOf(t.Elem(), seen, into)
+		fmt.Fprintf(out, "map %s ", t.Key())
+		describeFormat(t.Elem(), seen, out)
 	case reflect.Struct:
-		fmt.Fprintf(into, "%s", t)
+		fmt.Fprintf(out, "%s", t)
 		if seen[t] {
 			return
 		}
 		seen[t] = true
-		into.WriteString("{")
+		out.WriteString("{")
 		for field := range t.Fields() {
-			fmt.Fprintf(into, "%s %q ", field.Name, field.Tag.Get("msgpack"))
-			formOf(field.Type, seen, into)
-			into.WriteString(";")
+			fmt.Fprintf(out, "%s %q ", field.Name, field.Tag.Get("msgpack"))
+			describeFormat(field.Type, seen, out)
+			out.WriteString(";")
 		}
-		into.WriteString("}")
+		out.WriteString("}")
 	default:
-		into.WriteString(t.String())
+		out.WriteString(t.String())
 	}
 }
 
-// TestMessageFormIsNamedAnew fails when a message, or anything in it, has another form than
-// the one that MessageForm names: give it a new name then, and the sum that this prints.
+// TestMessageFormIsNamedAnew fails if the format of Message, or of a type in it, differs from the
+// one that MessageForm names. In that case give MessageForm a new name and update the sum to the
+// printed one.
 func TestMessageFormIsNamedAnew(t *testing.T) {
 	const named, sum = "12", uint64(0xefba0c6559163352)
 	var form strings.Builder
-	formOf(reflect.TypeFor[coordination.Message](), map[reflect.Type]bool{}, &form)
+	describeFormat(reflect.TypeFor[coordination.Message](), map[reflect.Type]bool{}, &form)
 	if got := xxhash.Sum64String(form.String()); got != sum || coordination.MessageForm != named {
-		t.Errorf("form %q has the sum %#x, want %q and %#x", coordination.MessageForm, got, named, sum)
+		t.Errorf("format %q has the sum %#x, want %q and %#x", coordination.MessageForm, got, named, sum)
 	}
 }
 
-// TestFieldsHaveKeysOfTheirOwn guards against a field of an embedded type that is sent under the key of another one.
+// TestFieldsHaveKeysOfTheirOwn guards against a field of an embedded type that is encoded under the
+// key of another field.
 func TestFieldsHaveKeysOfTheirOwn(t *testing.T) {
 	checkKeys(t, reflect.TypeFor[coordination.Message](), map[reflect.Type]bool{})
 }
--- a/coordination/node.go
+++ b/coordination/node.go
@@ -49,9 +49,9 @@
 	loggedRevision uint64
 	group          *Group
 	groupRevision  uint64
-	// trees are the multicast trees of the fleet at the members revision treesRevision.
-	trees         *multicastTrees
-	treesRevision uint64
+	// multicastTrees are the multicast trees of the fleet at the members revision treesRevision.
+	multicastTrees *multicastTrees
+	treesRevision  uint64
 	// order lists the live daemons by rank, at the members revision orderAt.
 	order        []string
 	orderAt      uint64
--- a/coordination/node_test.go
+++ b/coordination/node_test.go
@@ -25,7 +25,7 @@
 		t.Fatalf("version %d", view.Version())
 	}
 	if _, again := node.TakeView(); again {
-		t.Error("a view is published without a change")
+		t.Error("TakeView reported a change, but nothing has changed")
 	}
 }
 
@@ -34,28 +34,28 @@
 	node := w.nodes["n0"]
 	node.ConfigurationLearned(engineConfiguration(1))
 	if view, _ := node.TakeView(); view.Configuration() != nil {
-		t.Fatal("a configuration without instances is served")
+		t.Fatal("the view has a configuration before the instances were listed")
 	}
 	node.InstancesListed(w.now, listing(5))
 	if view, _ := node.TakeView(); view.Configuration() == nil {
-		t.Fatal("nothing is served although both are known")
+		t.Fatal("the view has no configuration, although configuration and instances are there")
 	}
 }
 
-// TestNodeCatchesUpByItsPeers covers a node whose watch on the store hears nothing,
-// one that does not watch, and one that the store turns away: all learn what others
-// know, also of instances that are gone.
+// TestNodeCatchesUpByItsPeers covers a node whose watch on the store receives nothing, one that
+// does not watch, and one that the store rejects. All receive what other nodes have, including
+// removals of instances.
 func TestNodeCatchesUpByItsPeers(t *testing.T) {
 	cases := []struct {
 		name      string
 		watching  bool
 		available bool
-		// asksStore says that the node lists again instead of being told.
-		asksStore bool
+		// listsStore is set if the node lists the store again instead of receiving an update.
+		listsStore bool
 	}{
-		{"a deaf watch", true, true, true},
-		{"no watch of its own", false, true, false},
-		{"turned away", true, false, false},
+		{"watch receives nothing", true, true, true},
+		{"not watching", false, true, false},
+		{"rejected by the store", true, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -78,23 +78,23 @@
 			w.nodes[behind].TakeView()
 			w.run(time.Second)
 			view, changed := w.nodes[behind].TakeView()
-			if c.asksStore {
+			if c.listsStore {
 				if w.refresh[behind] == 0 || changed && view.Version() == 2 {
-					t.Fatalf("%d lists, told %v", w.refresh[behind], changed)
+					t.Fatalf("%d list calls, view changed %v", w.refresh[behind], changed)
 				}
 				return
 			}
 			if !changed || view.Version() != 2 || view.Instance("i3") == nil || view.Instance("i1") != nil || view.Instance("i2") == nil {
-				t.Fatalf("the node did not learn by its peers")
+				t.Fatalf("the node did not catch up from its peers")
 			}
 		})
 	}
 }
 
-// TestSomebodyAlwaysWatches covers a watcher that dies, and one that the store turns
-// away: others watch within a second.
+// TestSomebodyAlwaysWatches covers a watching node that fails, and one that the store rejects.
+// Others must watch within a second.
 func TestSomebodyAlwaysWatches(t *testing.T) {
-	for name, strike := range map[string]func(w *world, watcher string){
+	for name, inject := range map[string]func(w *world, watcher string){
 		"dies": func(w *world, watcher string) { w.dead[watcher] = true },
 		"is turned away": func(w *world, watcher string) {
 			for _, source := range []coordination.Source{coordination.SourceConfiguration, coordination.SourceInstances} {
@@ -108,44 +108,44 @@
 			w.learn()
 			w.run(3 * time.Second)
 			if w.watching() != 1 {
-				t.Fatalf("%d nodes watch", w.watching())
+				t.Fatalf("%d nodes watch the store", w.watching())
 			}
-			strike(w, w.pickByWatch(true))
+			inject(w, w.pickByWatch(true))
 			w.run(time.Second)
 			others := w.watching()
 			if name == "is turned away" {
 				others--
 			}
 			if others < 1 {
-				t.Fatal("nobody else watches")
+				t.Fatal("no other node watches the store")
 			}
 		})
 	}
 }
 
-// TestNoNodeWatchesBeforeItKnowsTheOthers covers the start of many daemons at the same
-// moment: each takes itself for the first one until it has heard of the others.
+// TestNoNodeWatchesBeforeItKnowsTheOthers covers the start of many daemons at the same moment. Each
+// ranks itself first until it has received messages of the others.
 func TestNoNodeWatchesBeforeItKnowsTheOthers(t *testing.T) {
 	w := newWorld(12)
 	w.learn()
-	most := 0
+	maxWatching := 0
 	for range 40 {
 		w.run(50 * time.Millisecond)
-		most = max(most, w.watching())
+		maxWatching = max(maxWatching, w.watching())
 	}
-	if limit := coordination.DefaultSettings(term).Watchers; most > limit || w.watching() != limit {
-		t.Errorf("up to %d nodes watched, %d do after two seconds; %d should", most, w.watching(), limit)
+	if limit := coordination.DefaultSettings(term).Watchers; maxWatching > limit || w.watching() != limit {
+		t.Errorf("up to %d nodes watched, %d do after two seconds; want %d", maxWatching, w.watching(), limit)
 	}
 	alone := newWorld(1)
 	alone.learn()
 	alone.run(2 * time.Second)
 	if alone.watching() != 1 {
-		t.Error("a node without others does not watch")
+		t.Error("a node without others does not watch the store")
 	}
 }
 
-// TestReportBeatsAnOldList covers what a server holds: its report is believed, and
-// all nodes hear of it.
+// TestReportBeatsAnOldList checks that the report of an instance takes precedence over the list,
+// and that all nodes receive it.
 func TestReportBeatsAnOldList(t *testing.T) {
 	w := newWorld(2)
 	w.learn()
@@ -156,13 +156,13 @@
 	for _, name := range w.names() {
 		view, _ := w.nodes[name].TakeView()
 		if view == nil || view.Instance("i1").Resident("n") == nil {
-			t.Errorf("%s does not know what i1 holds", name)
+			t.Errorf("%s lacks the residents of i1", name)
 		}
 	}
 }
 
-// TestNodeThatStartsLateHearsWhatServersHold covers a daemon that was not there
-// when the holder told of an adapter: the list of servers does not tell of it.
+// TestNodeThatStartsLateHearsWhatServersHold covers a daemon that was down when the lease holder
+// sent the fact about an adapter. The list of instances does not contain it.
 func TestNodeThatStartsLateHearsWhatServersHold(t *testing.T) {
 	w := newWorld(3)
 	w.dead["n2"] = true
@@ -175,12 +175,12 @@
 		t.Fatalf("view %v, holders %v", view, w.holders())
 	}
 	if !w.nodes["n2"].KnowsReport("i1") {
-		t.Fatal("no report is known")
+		t.Fatal("the report of i1 is missing")
 	}
 }
 
-// TestChangesOfBeliefAreTold looks for the lines that tell of another daemon, of the
-// lease, of the configuration and of an instance.
+// TestChangesOfBeliefAreTold checks for the log entries about another daemon, the lease, the
+// configuration and an instance.
 func TestChangesOfBeliefAreTold(t *testing.T) {
 	w := newWorld(3)
 	w.learn()
@@ -194,13 +194,13 @@
 			found = found || strings.Contains(line, want)
 		}
 		if !found {
-			t.Errorf("no line tells %q", want)
+			t.Errorf("no log line contains %q", want)
 		}
 	}
 }
 
-// TestNewsOfAFleetTakesFewLines has a fleet of the size of hundreds of machines come to know
-// all instances and each other: a line holds many names, and none is left out.
+// TestNewsOfAFleetTakesFewLines starts a fleet in which all nodes learn of all instances and of
+// each other, as with hundreds of machines. One log line contains many names, and none is left out.
 func TestNewsOfAFleetTakesFewLines(t *testing.T) {
 	const instances, nodes = 300, 60
 	w := newWorld(nodes)
@@ -212,38 +212,38 @@
 		w.perform(name, w.nodes[name].InstancesListed(w.now, listing(5, ids...)))
 	}
 	w.run(10 * time.Second)
-	lines, told := map[string]int{}, map[string]int{}
+	lines, named := map[string]int{}, map[string]int{}
 	for _, line := range w.decisions {
-		words := strings.Fields(line)
-		part := words[1]
+		columns := strings.Fields(line)
+		part := columns[1]
 		lines[part]++
 		if part == "instances" || part == "daemons" {
-			told[part] += strings.Count(line, "@")
+			named[part] += strings.Count(line, "@")
 		}
 	}
-	// One line, and five of up to 64 names, once at each node.
-	if most := nodes * 6; lines["instances"] > most || told["instances"] != nodes*instances {
-		t.Errorf("%d lines tell of instances %d times, want at most %d and %d", lines["instances"], told["instances"], most, nodes*instances)
+	// Each node logs one line, and five of up to 64 names.
+	if maxLines := nodes * 6; lines["instances"] > maxLines || named["instances"] != nodes*instances {
+		t.Errorf("%d lines name instances %d times, want at most %d and %d", lines["instances"], named["instances"], maxLines, nodes*instances)
 	}
-	// Nodes hear of each other over a few seconds: a line each second.
-	if most := nodes * 8; lines["daemons"] > most || told["daemons"] < nodes*(nodes-1) {
-		t.Errorf("%d lines tell of daemons %d times, want at most %d and at least %d", lines["daemons"], told["daemons"], most, nodes*(nodes-1))
+	// Nodes discover each other over a few seconds, with one line each second.
+	if maxLines := nodes * 8; lines["daemons"] > maxLines || named["daemons"] < nodes*(nodes-1) {
+		t.Errorf("%d lines name daemons %d times, want at most %d and at least %d", lines["daemons"], named["daemons"], maxLines, nodes*(nodes-1))
 	}
 }
 
-// TestLogTellsFromWhomAnInstanceIsKnown has the node that watches the store read it, and the
-// other one hear of the instance from that node.
+// TestLogTellsFromWhomAnInstanceIsKnown has a node that watches the store read an instance, and the
+// other node receive it from that node.
 func TestLogTellsFromWhomAnInstanceIsKnown(t *testing.T) {
 	w := newWorld(2)
 	w.setWatchers(1)
 	w.run(2 * time.Second)
-	reader, hearer := w.pickByWatch(true), w.pickByWatch(false)
+	reader, receiver := w.pickByWatch(true), w.pickByWatch(false)
 	w.perform(reader, w.nodes[reader].ConfigurationLearned(engineConfiguration(1)))
 	w.perform(reader, w.nodes[reader].InstancesListed(w.now, listing(5, "i1")))
 	w.run(3 * time.Second)
-	for _, want := range []string{reader + " instances count 1 over_ms 0 from store present i1@5", hearer + " instances count 1 over_ms 0 from " + reader + " present i1@5"} {
+	for _, want := range []string{reader + " instances count 1 over_ms 0 from store present i1@5", receiver + " instances count 1 over_ms 0 from " + reader + " present i1@5"} {
 		if !slices.ContainsFunc(w.decisions, func(line string) bool { return strings.HasPrefix(line, want) }) {
-			t.Errorf("no line tells %q", want)
+			t.Errorf("no log line contains %q", want)
 		}
 	}
 }
--- a/coordination/norace_test.go
+++ b/coordination/norace_test.go
@@ -2,5 +2,5 @@
 
 package coordination_test
 
-// largeFleets says that tests play large fleets too.
+// largeFleets enables tests of large fleets.
 const largeFleets = true
--- a/coordination/race_test.go
+++ b/coordination/race_test.go
@@ -2,6 +2,6 @@
 
 package coordination_test
 
-// largeFleets says that tests play large fleets too. With the race detector they take minutes; CI
-// plays them without it.
+// largeFleets enables tests of large fleets. With the race detector they take minutes, so CI runs
+// them without it.
 const largeFleets = false
--- a/coordination/revision_bench_test.go
+++ b/coordination/revision_bench_test.go
@@ -8,26 +8,26 @@
 	"github.com/wheatweir/wheatweir/member"
 )
 
-// BenchmarkChangeOfAMember is a tick in which one of many members has started anew.
+// BenchmarkChangeOfAMember measures a tick in which one of many members has restarted.
 func BenchmarkChangeOfAMember(b *testing.B) {
 	for _, members := range []int{100, 300, 985, 2000} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) {
 			w := newWorld(1)
 			node := w.nodes["n0"]
-			hear := func(number int, incarnation uint64) {
+			receiveRumor := func(number int, incarnation uint64) {
 				name := fmt.Sprint("m", number)
-				known := member.Member{Name: name, Zone: zoneOfNode(number), PeerAddress: name, CallerAddress: name, Incarnation: incarnation}
-				node.Receive(w.now, coordination.Message{From: name, Probe: &member.Message{Kind: member.Rumor, Sender: known}})
+				sender := member.Member{Name: name, Zone: zoneOfNode(number), PeerAddress: name, CallerAddress: name, Incarnation: incarnation}
+				node.Receive(w.now, coordination.Message{From: name, Probe: &member.Message{Kind: member.Rumor, Sender: sender}})
 			}
 			for number := range members {
-				hear(number, 1)
+				receiveRumor(number, 1)
 			}
 			w.learnServers(20)
 			incarnation := uint64(1)
 			for b.Loop() {
 				incarnation++
 				w.now = w.now.Add(coordination.TickEvery)
-				hear(int(incarnation)%members, incarnation)
+				receiveRumor(int(incarnation)%members, incarnation)
 				node.ObserveOwn(w.now, nil, nil, coordination.UrgencyNone)
 				node.Tick(w.now)
 				node.Group()
--- a/coordination/scale_bench_test.go
+++ b/coordination/scale_bench_test.go
@@ -15,9 +15,9 @@
 	"github.com/wheatweir/wheatweir/member"
 )
 
-// BenchmarkControl measures what coordination costs each daemon for one second of virtual time, at
-// several sizes in five zones and in three phases: in steady state, from the start of all on, and
-// from the loss of a quarter of the servers on.
+// BenchmarkControl measures the cost of coordination for each daemon in one second of virtual time,
+// at several sizes in five zones and in three phases: in steady state, from a common start on, and
+// from the loss of a quarter of the instances on.
 func BenchmarkControl(b *testing.B) {
 	for _, size := range []struct{ daemons, servers int }{{30, 24}, {100, 80}, {300, 240}, {1000, 800}} {
 		for _, phase := range []controlPhase{phaseSteady, phaseStart, phaseCrash} {
@@ -28,13 +28,13 @@
 					w.runLoaded(size.servers)
 				}
 				b.StopTimer()
-				w.reportControl(b)
+				w.reportControlCost(b)
 			})
 		}
 	}
 }
 
-// controlPhase is what happens to a fleet when its control traffic begins to be counted.
+// controlPhase is the event in a fleet from which its control traffic is counted.
 type controlPhase string
 
 const (
@@ -43,7 +43,7 @@
 	phaseCrash  controlPhase = "crash"
 )
 
-// newControlWorld returns a world at the beginning of a phase, which counts from there on.
+// newControlWorld returns a world at the beginning of a phase, with counters that start there.
 func newControlWorld(daemons, servers int, phase controlPhase) *world {
 	w := newWorld(daemons)
 	w.rebuild(func(i int, self *member.Member, settings *coordination.Settings) {
@@ -57,17 +57,17 @@
 	w.encode = true
 	clear(w.messages)
 	if phase == phaseCrash {
-		w.loseServers(servers / 4)
+		w.removeServers(servers / 4)
 	}
 	return w
 }
 
-// zoneOfNode is the zone of the node with a number.
+// zoneOfNode returns the zone of a node by its number.
 func zoneOfNode(i int) string { return fmt.Sprint("z", i%5) }
 
 // TestControlTrafficDoesNotGrowWithTheFleet compares what the mean daemon sends in ten seconds of
-// steady state with 40 daemons and with 160, and with four times the servers: not more than a
-// quarter more messages or bytes.
+// steady state with 40 daemons and with 160, and with four times the instances. It must not be more
+// than a quarter more messages or bytes.
 func TestControlTrafficDoesNotGrowWithTheFleet(t *testing.T) {
 	type traffic struct{ messages, bytes, far float64 }
 	measure := func(daemons, servers int) traffic {
@@ -80,17 +80,17 @@
 			sum.messages += float64(w.messages[name]) / float64(daemons)
 			sum.bytes += float64(w.bytes[name]) / float64(daemons)
 		}
-		sum.far = float64(w.farBytes) / float64(daemons)
+		sum.far = float64(w.crossZoneBytes) / float64(daemons)
 		return sum
 	}
 	small, large := measure(40, 32), measure(160, 128)
-	const most = 1.25
-	if large.messages > most*small.messages || large.bytes > most*small.bytes || large.far > most*small.far {
+	const maxGrowth = 1.25
+	if large.messages > maxGrowth*small.messages || large.bytes > maxGrowth*small.bytes || large.far > maxGrowth*small.far {
 		t.Errorf("the mean daemon sends %+v among 160, %+v among 40", large, small)
 	}
 }
 
-// learnServers gives all nodes a configuration and a list of many servers.
+// learnServers gives all nodes a configuration and a list of count instances.
 func (w *world) learnServers(count int) {
 	var ids []string
 	for i := range count {
@@ -102,9 +102,9 @@
 	}
 }
 
-// loseServers has the store tell the nodes that watch it that the first servers are gone. The others
-// hear of it from those.
-func (w *world) loseServers(count int) {
+// removeServers has the nodes that watch the store receive that the first count instances are gone.
+// The other nodes receive it from them.
+func (w *world) removeServers(count int) {
 	for _, name := range w.names() {
 		if !w.nodes[name].Watching(w.now) {
 			continue
@@ -117,13 +117,13 @@
 	}
 }
 
-// runLoaded runs a second in which each daemon's load changes ten times.
+// runLoaded runs one second in which each daemon's load changes ten times.
 func (w *world) runLoaded(servers int) {
 	models := []coordination.ModelLoad{{Service: "llm", Model: "m", Requests: 12}}
 	for round := range 10 {
 		load := map[string]balance.Load{}
 		for i := range 12 {
-			// Two of them change in each round: a request ends, another one begins.
+			// Two entries change in each round: a request ends, another one begins.
 			load[fmt.Sprintf("i-%08x", (i*7)%servers)] = balance.Load{Requests: 1 + (i+round)%12/11, PromptTokens: 1000}
 		}
 		for _, name := range w.names() {
@@ -135,15 +135,15 @@
 	}
 }
 
-// reportControl reports the costs of one second of one daemon.
-func (w *world) reportControl(b *testing.B) {
+// reportControlCost reports the cost per daemon and second.
+func (w *world) reportControlCost(b *testing.B) {
 	seconds := float64(b.N)
-	var messages, bytes, most int
+	var messages, bytes, maxBytes int
 	var spent, longest time.Duration
 	for _, name := range w.names() {
 		messages += w.messages[name]
 		bytes += w.bytes[name]
-		most = max(most, w.bytes[name])
+		maxBytes = max(maxBytes, w.bytes[name])
 		spent += w.spent[name]
 		longest = max(longest, w.spent[name])
 	}
@@ -153,14 +153,14 @@
 	}
 	b.ReportMetric(float64(messages)/daemons/seconds, "messages/daemon-s")
 	b.ReportMetric(float64(bytes)/daemons/seconds, "B/daemon-s")
-	b.ReportMetric(float64(w.farBytes)/daemons/seconds, "far-B/daemon-s")
-	b.ReportMetric(float64(most)/seconds, "B/busiest-s")
+	b.ReportMetric(float64(w.crossZoneBytes)/daemons/seconds, "far-B/daemon-s")
+	b.ReportMetric(float64(maxBytes)/seconds, "B/busiest-s")
 	b.ReportMetric(spent.Seconds()/daemons/seconds*100, "%core/daemon")
 	b.ReportMetric(longest.Seconds()/seconds*100, "%core/busiest")
 }
 
-// kindOf names what a message is for.
-func kindOf(message *coordination.Message) string {
+// messageKind names the purpose of a message.
+func messageKind(message *coordination.Message) string {
 	switch {
 	case message.Probe != nil:
 		return "probe"
@@ -173,35 +173,36 @@
 	}
 }
 
-// carry encodes a message as the transport does, and decodes it at the other side.
-func (w *world) carry(from, to string, message coordination.Message) coordination.Message {
+// transport encodes a message as the transport between daemons does, and decodes it for the
+// receiver.
+func (w *world) transport(from, to string, message coordination.Message) coordination.Message {
 	if !w.encode {
 		return message
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	body, err := msgpack.Marshal(&message)
-	w.spent[from] += time.Since(begun)
+	w.spent[from] += time.Since(startedAt)
 	if err != nil {
 		panic(err)
 	}
 	w.bytes[from] += len(body)
 	if w.zones[from] != w.zones[to] {
-		w.farBytes += len(body)
+		w.crossZoneBytes += len(body)
 	}
-	w.byKind[kindOf(&message)] += len(body)
-	begun = time.Now()
+	w.byKind[messageKind(&message)] += len(body)
+	startedAt = time.Now()
 	var arrived coordination.Message
 	if err := msgpack.Unmarshal(body, &arrived); err != nil {
 		panic(err)
 	}
-	w.spent[to] += time.Since(begun)
+	w.spent[to] += time.Since(startedAt)
 	return arrived
 }
 
-// timed performs what a node does and counts its time.
+// timed performs a step of a node and counts its duration.
 func (w *world) timed(name string, step func() []coordination.Action) {
-	begun := time.Now()
+	startedAt := time.Now()
 	actions := step()
-	w.spent[name] += time.Since(begun)
+	w.spent[name] += time.Since(startedAt)
 	w.perform(name, actions)
 }
--- a/coordination/sharedemand_test.go
+++ b/coordination/sharedemand_test.go
@@ -11,8 +11,9 @@
 	"github.com/wheatweir/wheatweir/member"
 )
 
-// settled is how long after a common start the average of the demand holds nothing of that time any more.
-const settled = 8 * time.Second
+// settlingTime is how long after a common start the average of the demand no longer depends on the
+// start.
+const settlingTime = 8 * time.Second
 
 // largeCount is the number of daemons of a large fleet.
 func largeCount() int {
@@ -22,22 +23,23 @@
 	return 60
 }
 
-// demandingWorld is a fleet in five zones in which each daemon has two requests for the model m in progress.
-func demandingWorld(count int) *world {
+// newWorldWithDemand returns a fleet in five zones in which each daemon has two requests for the
+// model m in progress.
+func newWorldWithDemand(count int) *world {
 	w := newWorld(count)
 	w.rebuild(func(i int, self *member.Member, settings *coordination.Settings) {
 		self.Zone, settings.Lease.OrderPause = zoneOfNode(i), 0
 	})
 	w.learnServers(20)
-	w.runDemanding(settled)
+	w.runWithDemand(settlingTime)
 	return w
 }
 
-// runDemanding runs the fleet for a while.
-func (w *world) runDemanding(span time.Duration) {
+// runWithDemand runs the fleet for a duration, with this demand at each daemon.
+func (w *world) runWithDemand(duration time.Duration) {
 	models := []coordination.ModelLoad{{Service: "llm", Model: "m", Requests: 2}}
 	loads := map[string]balance.Load{"i-00000000": {Requests: 2}}
-	for end := w.now.Add(span); w.now.Before(end); w.now = w.now.Add(coordination.TickEvery) {
+	for end := w.now.Add(duration); w.now.Before(end); w.now = w.now.Add(coordination.TickEvery) {
 		for _, name := range w.names() {
 			if !w.dead[name] {
 				w.perform(name, w.nodes[name].ObserveOwn(w.now, loads, models, coordination.UrgencyNone))
@@ -47,8 +49,8 @@
 	}
 }
 
-// heardPart is the part of the demand of all daemons that the holder has heard.
-func (w *world) heardPart(t *testing.T) float64 {
+// receivedShare returns the share of the demand of all daemons that the lease holder has received.
+func (w *world) receivedShare(t *testing.T) float64 {
 	t.Helper()
 	holders := w.holders()
 	if len(holders) != 1 {
@@ -57,35 +59,35 @@
 	return w.nodes[holders[0]].Demand("llm", "m") / float64(2*(len(w.nodes)-len(w.dead)))
 }
 
-// TestHolderHearsTheDemandOfALargeFleet guards against a holder that forgets what a daemon told before it hears from
-// it again: daemons told the holder themselves, all the less often the more there were, and the holder of 600 knew of
-// a part of their demand.
+// TestHolderHearsTheDemandOfALargeFleet guards against a lease holder that expires a daemon's
+// demand before the next report of it. Daemons reported to the holder directly, at intervals that
+// grew with their number, and the holder of 600 daemons had only part of their demand.
 func TestHolderHearsTheDemandOfALargeFleet(t *testing.T) {
 	for _, count := range []int{30, largeCount()} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
-			w := demandingWorld(count)
+			w := newWorldWithDemand(count)
 			for range 4 {
-				w.runDemanding(500 * time.Millisecond)
-				if part := w.heardPart(t); math.Abs(part-1) > 0.05 {
-					t.Errorf("the holder has heard %.2f of the demand", part)
+				w.runWithDemand(500 * time.Millisecond)
+				if share := w.receivedShare(t); math.Abs(share-1) > 0.05 {
+					t.Errorf("the holder has received %.2f of the demand", share)
 				}
 			}
 		})
 	}
 }
 
-// TestNewHolderHearsTheDemandSoon guards against a fleet without orders while a new holder waits for the demand:
-// 7.2 s with 600 daemons when all of them told it themselves.
+// TestNewHolderHearsTheDemandSoon guards against a fleet without orders while a new lease holder
+// collects the demand. This took 7.2 s with 600 daemons when all of them reported directly.
 func TestNewHolderHearsTheDemandSoon(t *testing.T) {
 	const within = 2 * time.Second
-	w := demandingWorld(largeCount())
+	w := newWorldWithDemand(largeCount())
 	w.dead[w.holders()[0]] = true
 	for len(w.holders()) == 0 {
-		w.runDemanding(coordination.TickEvery)
+		w.runWithDemand(coordination.TickEvery)
 	}
-	w.runDemanding(within)
-	if part := w.heardPart(t); math.Abs(part-1) > 0.05 {
-		t.Errorf("the new holder has heard %.2f of the demand %v after it took the lease", part, within)
+	w.runWithDemand(within)
+	if share := w.receivedShare(t); math.Abs(share-1) > 0.05 {
+		t.Errorf("the new holder has received %.2f of the demand %v after it took the lease", share, within)
 	}
 	if w.nodes[w.holders()[0]].AwaitsDemand() {
 		t.Errorf("the new holder still waits %v after it took the lease", within)
--- a/coordination/spread.go
+++ b/coordination/spread.go
@@ -78,10 +78,10 @@
 
 // passBelow sends a message to this daemon's children in the multicast tree of the message's root.
 func (n *Node) passBelow(root string, sequence uint64, message Message) {
-	if revision := n.MembersRevision(); n.trees == nil || revision != n.treesRevision {
-		n.trees, n.treesRevision = newMulticastTrees(n.detector.Members()), revision
+	if revision := n.MembersRevision(); n.multicastTrees == nil || revision != n.treesRevision {
+		n.multicastTrees, n.treesRevision = newMulticastTrees(n.detector.Members()), revision
 	}
-	n.sendAll(n.trees.childrenOf(n.self, root, sequence, n.settings.FanOut), message)
+	n.sendAll(n.multicastTrees.childrenOf(n.self, root, sequence, n.settings.FanOut), message)
 }
 
 // receiveHolderUpdate processes an update of the lease holder and forwards it, if it is newer than
--- a/coordination/spread_test.go
+++ b/coordination/spread_test.go
@@ -19,42 +19,42 @@
 
 const manyNodes = 60
 
-// knowing counts the live nodes that know that an instance serves a model.
-func (w *world) knowing(instance, model string) int {
+// countServing counts the live nodes that have the fact that an instance serves a model.
+func (w *world) countServing(instance, model string) int {
 	count := 0
 	for _, name := range w.names() {
 		if w.dead[name] {
 			continue
 		}
-		if told, known := w.nodes[name].FactOf(instance); known && len(told.Residents) > 0 && told.Residents[len(told.Residents)-1].Model == model {
+		if fact, found := w.nodes[name].FactOf(instance); found && len(fact.Residents) > 0 && fact.Residents[len(fact.Residents)-1].Model == model {
 			count++
 		}
 	}
 	return count
 }
 
-// report gives the holder a report that the instance serves a model as well.
+// report delivers a report to the lease holder that the instance serves a model as well.
 func (w *world) report(holder, instance, model string, sequence uint64) {
 	report := fleet.Report{Residents: []fleet.Resident{{Model: "m"}, {Model: model}}, Sequence: sequence}
 	w.perform(holder, w.nodes[holder].ReportAnswered(w.now, w.now, instance, report, true))
 }
 
-// TestFactsReachManyNodes covers what a server holds: all of many nodes hear of a
-// change within one round, although each sends to a few only.
+// TestFactsReachManyNodes checks that all nodes of a large fleet receive a new fact within one
+// round, although each node sends to a few others only.
 func TestFactsReachManyNodes(t *testing.T) {
 	w := newWorld(manyNodes)
 	w.learn()
 	w.run(8 * time.Second)
 	w.report(w.holders()[0], "i1", "n", 9)
 	w.run(100 * time.Millisecond)
-	if known := w.knowing("i1", "n"); known != manyNodes {
-		t.Fatalf("%d of %d nodes know", known, manyNodes)
+	if known := w.countServing("i1", "n"); known != manyNodes {
+		t.Fatalf("%d of %d nodes have the fact", known, manyNodes)
 	}
 }
 
-// TestFactsOfAServerThatIsGoneAreForgotten covers nodes that hear at different moments that
-// a server is gone: what the holder told of it meanwhile must not stay, or its facts differ
-// from those of all others, and it asks for them again and again.
+// TestFactsOfAServerThatIsGoneAreForgotten covers nodes that learn of a removed instance at
+// different moments. A node must not keep a fact that arrives after the removal. Otherwise its
+// facts differ from those of all others, and it requests them again and again.
 func TestFactsOfAServerThatIsGoneAreForgotten(t *testing.T) {
 	w := newWorld(manyNodes)
 	w.learn()
@@ -70,17 +70,17 @@
 	fact := coordination.Fact{Instance: "i2", Sequence: 9}
 	w.perform(late, w.nodes[late].Receive(w.now, coordination.Message{From: holder, Facts: []coordination.Fact{fact}}))
 	if w.nodes[late].KnowsReport("i2") {
-		t.Error("a report of a server that is gone is kept")
+		t.Error("the fact of a removed instance is kept")
 	}
 	w.factMessages = 0
 	w.run(10 * time.Second)
 	if w.factMessages > 0 {
-		t.Errorf("all facts are told %d times in ten seconds without a change", w.factMessages)
+		t.Errorf("all facts were sent %d times in ten seconds without a change", w.factMessages)
 	}
 }
 
-// TestNodeThatMissedAFactAsksForIt covers a message that is lost on its way down the
-// tree: those below catch up without another change.
+// TestNodeThatMissedAFactAsksForIt covers an update that is lost on its way down the tree. The
+// nodes below catch up without another change.
 func TestNodeThatMissedAFactAsksForIt(t *testing.T) {
 	w := newWorld(manyNodes)
 	w.learn()
@@ -94,26 +94,26 @@
 		w.dead[name] = false
 	}
 	w.run(2500 * time.Millisecond)
-	if known := w.knowing("i1", "n"); known != manyNodes {
-		t.Fatalf("%d of %d nodes know", known, manyNodes)
+	if known := w.countServing("i1", "n"); known != manyNodes {
+		t.Fatalf("%d of %d nodes have the fact", known, manyNodes)
 	}
 }
 
-// TestUnloadIsToldBeforeItsOrderLeaves covers a model that is unloaded at one of two servers to make room for another
-// one, right after a report. It guards against daemons that go on sending requests there for a tick, which the server
-// declines.
+// TestUnloadIsToldBeforeItsOrderLeaves covers a model that is unloaded at one of two instances to
+// make room for another one, right after a report. It guards against daemons that go on sending
+// requests there for a tick, which the instance declines.
 func TestUnloadIsToldBeforeItsOrderLeaves(t *testing.T) {
 	w := newWorld(5)
 	unloads := 0
-	w.ordered = func(order residency.Order) {
+	w.onOrder = func(order residency.Order) {
 		if order.Load {
 			return
 		}
 		unloads++
 		for _, name := range w.names() {
-			told, _ := w.nodes[name].FactOf(order.Instance)
-			if slices.ContainsFunc(told.Residents, func(held fleet.Resident) bool { return held.Model == order.Model }) {
-				t.Errorf("%s still takes %s for a server of %s", name, order.Instance, order.Model)
+			fact, _ := w.nodes[name].FactOf(order.Instance)
+			if slices.ContainsFunc(fact.Residents, func(resident fleet.Resident) bool { return resident.Model == order.Model }) {
+				t.Errorf("%s still considers %s to serve %s", name, order.Instance, order.Model)
 			}
 		}
 	}
@@ -122,7 +122,7 @@
 	for _, name := range w.names() {
 		w.perform(name, w.nodes[name].ConfigurationLearned(tight))
 	}
-	// The second server makes an unload possible, as soon as its first report is there.
+	// The second instance makes an unload possible, as soon as its first report has arrived.
 	for at, servers := range [][]string{{"i1"}, {"i1", "i2"}} {
 		for _, name := range w.names() {
 			w.perform(name, w.nodes[name].InstancesListed(w.now, listing(uint64(5+at), servers...)))
@@ -130,14 +130,14 @@
 		w.run(8 * time.Second)
 	}
 	if unloads == 0 {
-		t.Error("nothing is unloaded")
+		t.Error("no model was unloaded")
 	}
 }
 
-// TestMessagesOfEachNodeAreBounded covers nodes whose load changes all the time: with
-// many of them each sends no more messages than with few.
+// TestMessagesOfEachNodeAreBounded covers nodes whose load changes all the time. Each node of a
+// large fleet sends no more messages than one of a small fleet.
 func TestMessagesOfEachNodeAreBounded(t *testing.T) {
-	const most = 400
+	const maxMessages = 400
 	for _, count := range []int{9, 20, manyNodes} {
 		w := newWorld(count)
 		w.learn()
@@ -150,14 +150,14 @@
 			}
 		}
 		for name, sent := range w.messages {
-			if sent > most {
+			if sent > maxMessages {
 				t.Errorf("%d nodes: %s sent %d messages in a second", count, name, sent)
 			}
 		}
 	}
 }
 
-// TestReportsThatComeTogetherArePlannedOnce covers the reports of many servers.
+// TestReportsThatComeTogetherArePlannedOnce covers reports of many instances at the same moment.
 func TestReportsThatComeTogetherArePlannedOnce(t *testing.T) {
 	w := newWorld(1)
 	w.learn()
@@ -173,9 +173,9 @@
 	}
 }
 
-// TestManyServersArePlannedForSeldom covers reports of many servers that come one after
-// the other, with ticks between: a plan looks at all servers, so the more there are, the
-// fewer plans are made.
+// TestManyServersArePlannedForSeldom covers reports of many instances that arrive one after the
+// other, with ticks between. A plan examines all instances, so the more there are, the fewer plans
+// are made.
 func TestManyServersArePlannedForSeldom(t *testing.T) {
 	const servers = 120
 	w := newWorld(1)
@@ -204,8 +204,7 @@
 	}
 }
 
-// TestAnEarlierHolderIsNotBelieved covers a late message of a holder that was
-// replaced.
+// TestAnEarlierHolderIsNotBelieved covers a late message of a lease holder that has been replaced.
 func TestAnEarlierHolderIsNotBelieved(t *testing.T) {
 	w := newWorld(3)
 	w.learn()
@@ -219,27 +218,27 @@
 		if name != first && name != second {
 			w.perform(name, w.nodes[name].Receive(w.now, coordination.Message{From: first, Load: &stale}))
 			if holder := w.nodes[name].HolderName(); holder != second {
-				t.Errorf("%s believes that %s holds the lease", name, holder)
+				t.Errorf("%s takes %s for the lease holder", name, holder)
 			}
 		}
 	}
 }
 
-// TestManyNodesKnowEachOtherSoon covers many daemons that start at the same moment:
-// addresses and the tree of the holder depend on who is known.
+// TestManyNodesKnowEachOtherSoon covers many daemons that start at the same moment. Addresses and
+// the multicast trees depend on the known members.
 func TestManyNodesKnowEachOtherSoon(t *testing.T) {
 	w := newWorld(manyNodes)
 	w.learn()
 	w.run(8 * time.Second)
 	for _, name := range w.names() {
 		if known := len(w.nodes[name].Members()); known != manyNodes {
-			t.Errorf("%s knows %d of %d", name, known, manyNodes)
+			t.Errorf("%s has %d of %d members", name, known, manyNodes)
 		}
 	}
 }
 
-// TestHolderTellsAllFactsOnlyIfAsked covers daemons that are heard so seldom, because
-// there are so many, that each time they seem new.
+// TestHolderTellsAllFactsOnlyIfAsked covers a fleet in which load updates are so rare, because
+// there are so many daemons, that each sender seems new each time.
 func TestHolderTellsAllFactsOnlyIfAsked(t *testing.T) {
 	w := newWorld(9)
 	for i, name := range w.names() {
@@ -253,13 +252,13 @@
 	w.run(10 * time.Second)
 	before := w.factMessages
 	w.run(30 * time.Second)
-	if told := w.factMessages - before; told > 0 {
-		t.Fatalf("all facts were told %d times although nothing changed", told)
+	if sent := w.factMessages - before; sent > 0 {
+		t.Fatalf("all facts were sent %d times without a change", sent)
 	}
 }
 
-// TestHolderHearsTheDemandOfManyNodes covers demand at daemons of a large fleet: the
-// holder places models for all of it, although the others are not told.
+// TestHolderHearsTheDemandOfManyNodes covers demand at the daemons of a large fleet. The lease
+// holder places models for all of it, although the other daemons do not receive it.
 func TestHolderHearsTheDemandOfManyNodes(t *testing.T) {
 	w := newWorld(30)
 	w.learn()
@@ -274,17 +273,17 @@
 	}
 	holder := w.holders()[0]
 	if demand := w.nodes[holder].Demand("llm", "m"); demand < 55 || demand > 65 {
-		t.Fatalf("the holder sees a demand of %.1f, all have 60", demand)
+		t.Fatalf("the holder has a demand of %.1f, want 60", demand)
 	}
 }
 
-// TestNewHolderPlansOnceItHearsTheDemand covers a large fleet, where daemons tell the
-// demand for models to the holder only: one that takes over has not heard of it yet.
+// TestNewHolderPlansOnceItHearsTheDemand covers a large fleet, in which only the lease holder
+// receives the demand for models. A new holder has none of it yet.
 func TestNewHolderPlansOnceItHearsTheDemand(t *testing.T) {
 	w := newWorld(manyNodes)
 	w.learn()
 	w.run(8 * time.Second)
-	tell := func() {
+	reportAll := func() {
 		for _, name := range w.names() {
 			models := []coordination.ModelLoad{{Service: "llm", Model: "m", Requests: 2}}
 			w.perform(name, w.nodes[name].ObserveOwn(w.now, nil, models, coordination.UrgencyLoad))
@@ -292,7 +291,7 @@
 	}
 	first := w.holders()[0]
 	w.perform(first, w.nodes[first].Leave())
-	for before := len(w.orders); len(w.orders) == before; tell() {
+	for before := len(w.orders); len(w.orders) == before; reportAll() {
 		w.run(50 * time.Millisecond)
 		if w.now.Sub(time.Unix(1000, 0)) > time.Minute {
 			t.Fatal("the new holder sends no orders")
@@ -300,13 +299,13 @@
 	}
 	holder := w.orders[len(w.orders)-1].node
 	if demand := w.nodes[holder].Demand("llm", "m"); holder == first || demand < 2*(manyNodes-2) {
-		t.Errorf("%s sends its first order at a demand of %.1f, all have %d", holder, demand, 2*manyNodes)
+		t.Errorf("%s sends its first order with a demand of %.1f, want about %d", holder, demand, 2*manyNodes)
 	}
 }
 
-// TestConfigurationComesFromAnotherDaemon covers a configuration that another daemon knows, however many routes
-// it has. It guards against daemons that all read it from the store: two changes of a configuration with many routes
-// were 1,970 calls of 985 daemons.
+// TestConfigurationComesFromAnotherDaemon checks that a daemon gets a configuration from another
+// daemon, however many routes it has. It guards against daemons that all read it from the store:
+// two changes of a configuration with many routes caused 1,970 calls of 985 daemons.
 func TestConfigurationComesFromAnotherDaemon(t *testing.T) {
 	for _, routes := range []int{3, 1500} {
 		w := newWorld(9)
@@ -324,15 +323,16 @@
 		clear(w.refresh)
 		w.run(450 * time.Millisecond)
 		view, changed := w.nodes[behind].TakeView()
-		byPeer := changed && view.Version() == 3
-		if w.refresh[behind] > 0 || !byPeer {
-			t.Errorf("%d routes: %d lists, learned by a peer %v", routes, w.refresh[behind], byPeer)
+		fromPeer := changed && view.Version() == 3
+		if w.refresh[behind] > 0 || !fromPeer {
+			t.Errorf("%d routes: %d list calls, received from a peer %v", routes, w.refresh[behind], fromPeer)
 		}
 	}
 }
 
-// TestQuestionForInstancesBringsNoConfiguration covers a daemon that lacks both: what
-// it asks for the small one must not bring the large one each time.
+// TestQuestionForInstancesBringsNoConfiguration covers a daemon that lacks both the instances and
+// the configuration. Its requests for the small collection must not transfer the large one each
+// time.
 func TestQuestionForInstancesBringsNoConfiguration(t *testing.T) {
 	w := newWorld(9)
 	w.setWatchers(1)
@@ -351,15 +351,15 @@
 	w.run(time.Second)
 	view, _ := w.nodes[behind].TakeView()
 	if view.Instance("i3") == nil {
-		t.Error("the instances were not learned")
+		t.Error("the instances were not received")
 	}
 	if w.configurations > 2 {
 		t.Errorf("the configuration was sent %d times", w.configurations)
 	}
 }
 
-// TestSilenceOfAServerIsTold covers a model server that leaves several questions
-// unanswered and then answers: one line for the change each way.
+// TestSilenceOfAServerIsTold covers an instance that leaves several report requests unanswered and
+// then answers. Each of the two changes is logged once.
 func TestSilenceOfAServerIsTold(t *testing.T) {
 	w := newWorld(1)
 	w.learn()
@@ -367,13 +367,13 @@
 	for _, answered := range []bool{false, false, true, true} {
 		w.perform("n0", w.nodes["n0"].ReportAnswered(w.now, w.now, "i1", fleet.Report{Residents: []fleet.Resident{{Model: "m"}}, Sequence: 4}, answered))
 	}
-	told := 0
+	lines := 0
 	for _, line := range w.decisions {
 		if strings.Contains(line, "instance i1 answered") {
-			told++
+			lines++
 		}
 	}
-	if told != 2 {
-		t.Fatalf("%d lines", told)
+	if lines != 2 {
+		t.Fatalf("%d log lines of answers, want 2", lines)
 	}
 }
--- a/coordination/world_test.go
+++ b/coordination/world_test.go
@@ -18,7 +18,7 @@
 
 const term = 3 * time.Second
 
-// world drives several nodes in virtual time over one lease record.
+// world simulates several nodes in virtual time that share one lease record.
 type world struct {
 	now      time.Time
 	nodes    map[string]*coordination.Node
@@ -30,47 +30,48 @@
 	dead     map[string]bool
 	orders   []sentOrder
 	refresh  map[string]int
-	// messages counts what each node sent to others.
+	// messages counts the messages that each node sent.
 	messages map[string]int
-	// factMessages counts messages that tell one node all facts.
+	// factMessages counts messages that carry all facts to one node.
 	factMessages int
-	// configurations counts messages with a whole configuration.
+	// configurations counts messages with a full configuration.
 	configurations int
-	// encode makes messages cross as bytes; bytes and spent then count what each
-	// node sent and what its steps took.
+	// encode makes messages pass through the encoder. bytes and spent then count the bytes that
+	// each node sent and the time of its steps.
 	encode bool
 	bytes  map[string]int
-	// farBytes counts those to another zone.
-	farBytes int
-	// byKind counts the bytes by what messages are for.
+	// crossZoneBytes counts the bytes sent to another zone.
+	crossZoneBytes int
+	// byKind counts the bytes by kind of message.
 	byKind map[string]int
 	spent  map[string]time.Duration
-	// decisions holds the lines for the log, each after the node's name.
+	// decisions holds the log entries, each with the node's name in front.
 	decisions []string
-	// heardLoad counts the messages about load by sender and receiver.
+	// heardLoad counts the load updates by sender and receiver.
 	heardLoad map[[2]string]int
-	// assured is the configuration in the store, for nodes that keep theirs sure.
+	// assured is the configuration in the store, for nodes that keep verifying theirs.
 	assured *assuredStore
-	// reportsAsked counts the questions to each model server.
+	// reportsAsked counts the report requests to each instance.
 	reportsAsked map[string]int
-	// reports are what model servers answer; those that are not listed hold one model.
+	// reports are the reports of instances; instances that are not listed hold one model.
 	reports map[string]fleet.Report
-	// questions counts the questions of nodes how sure a node is.
+	// questions counts the assurance requests to each node.
 	questions map[string]int
-	// learnCrashes is told what nodes hear of crashes; nil means nobody.
+	// learnCrashes is called with each update on crashes that a node receives; it may be nil.
 	learnCrashes func(node string, update quarantine.Update)
-	// crashMessages counts messages with news of crashes by their senders.
+	// crashMessages counts the messages with updates on crashes by sender.
 	crashMessages map[string]int
-	// ordered is told of each order as it leaves; nil means nobody.
-	ordered func(order residency.Order)
-	// latency is how long a message takes; nil means no time. under are those on their way.
-	latency func() time.Duration
-	under   []message
+	// onOrder is called with each order as it is sent; it may be nil.
+	onOrder func(order residency.Order)
+	// latency returns the delay of a message; nil means none. inFlight are the messages on their
+	// way.
+	latency  func() time.Duration
+	inFlight []message
 	// cut reports whether messages between two nodes are lost; nil means that none are.
 	cut func(from, to string) bool
 }
 
-// message is one on its way.
+// message is a message in flight.
 type message struct {
 	to      string
 	arrives time.Time
@@ -93,7 +94,7 @@
 	return w
 }
 
-// rebuild makes all nodes anew, each with what adjust does to it.
+// rebuild creates all nodes anew, with adjust applied to the settings of each.
 func (w *world) rebuild(adjust func(i int, self *member.Member, settings *coordination.Settings)) {
 	for i, name := range w.names() {
 		self := member.Member{Name: name, Zone: fmt.Sprint("z", i%4), PeerAddress: name, CallerAddress: name, Incarnation: 1}
@@ -104,7 +105,8 @@
 	}
 }
 
-// rebuildOne makes one node anew, of a later incarnation, with the settings of assured worlds.
+// rebuildOne creates one node anew with another incarnation, with the settings of worlds whose
+// nodes verify their configuration.
 func (w *world) rebuildOne(name string, incarnation uint64, random *rand.Rand) {
 	self := member.Member{Name: name, Zone: w.zones[name], PeerAddress: name, CallerAddress: name, Incarnation: incarnation}
 	settings := coordination.DefaultSettings(term)
@@ -112,13 +114,13 @@
 	w.nodes[name] = coordination.New(w.now, self, settings, []string{"n0"}, rand.New(rand.NewPCG(random.Uint64(), 7)))
 }
 
-// deliver hands over the messages that have arrived.
+// deliver delivers the messages whose latency has passed.
 func (w *world) deliver() {
-	due := w.under
-	w.under = nil
+	due := w.inFlight
+	w.inFlight = nil
 	for _, sent := range due {
 		if sent.arrives.After(w.now) {
-			w.under = append(w.under, sent)
+			w.inFlight = append(w.inFlight, sent)
 		} else if !w.dead[sent.to] {
 			w.perform(sent.to, w.nodes[sent.to].Receive(w.now, sent.content))
 		}
@@ -133,8 +135,8 @@
 	return names
 }
 
-func (w *world) run(span time.Duration) {
-	for end := w.now.Add(span); w.now.Before(end); w.now = w.now.Add(50 * time.Millisecond) {
+func (w *world) run(duration time.Duration) {
+	for end := w.now.Add(duration); w.now.Before(end); w.now = w.now.Add(50 * time.Millisecond) {
 		w.deliver()
 		for _, name := range w.names() {
 			if !w.dead[name] {
@@ -171,11 +173,11 @@
 				w.questions[action.Address]++
 			}
 			if w.latency != nil {
-				w.under = append(w.under, message{action.Address, w.now.Add(w.latency()), action.Message})
+				w.inFlight = append(w.inFlight, message{action.Address, w.now.Add(w.latency()), action.Message})
 				continue
 			}
 			if other := w.nodes[action.Address]; other != nil && !w.dead[action.Address] {
-				arrived := w.carry(name, action.Address, action.Message)
+				arrived := w.transport(name, action.Address, action.Message)
 				w.timed(action.Address, func() []coordination.Action { return other.Receive(w.now, arrived) })
 			}
 		case coordination.Broadcast:
@@ -194,8 +196,8 @@
 			w.perform(name, node.ReportAnswered(w.now, w.now, action.Instance, report, true))
 		case coordination.SendOrder:
 			w.orders = append(w.orders, sentOrder{name, action.Fence, w.now, action.Order})
-			if w.ordered != nil {
-				w.ordered(action.Order)
+			if w.onOrder != nil {
+				w.onOrder(action.Order)
 			}
 			w.perform(name, node.OrderAnswered(w.now, action.Order, residency.AnswerTaken))
 		case coordination.Refresh:
@@ -263,7 +265,7 @@
 	return holders
 }
 
-// setWatchers makes new nodes of which so many watch the store.
+// setWatchers creates the nodes anew with the given number of nodes that watch the store.
 func (w *world) setWatchers(count int) {
 	w.rebuild(func(_ int, _ *member.Member, settings *coordination.Settings) { settings.Watchers = count })
 }
