--- a/coordination/actions.go
+++ b/coordination/actions.go
@@ -34,7 +34,7 @@
 	Address  string
 }
 
-// Refresh makes the driver list a collection of the store again, because another daemon knows of
+// Refresh makes the driver list a collection of the store again, because another daemon has
 // something newer.
 type Refresh struct{ Source Source }
 
--- a/coordination/demand.go
+++ b/coordination/demand.go
@@ -126,7 +126,7 @@
 // of returns the demand for the models of a service.
 func (d *demandState) of(service string) map[string]residency.Demand { return d.current[service] }
 
-// Demand returns the smoothed number of requests for a model, as far as this daemon knows it.
+// Demand returns the smoothed number of requests for a model, as far as this daemon has received it.
 func (n *Node) Demand(service, model string) float64 {
 	return n.demand.of(service)[model].Concurrent
 }
--- a/coordination/spread_test.go
+++ b/coordination/holderupdate_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestFactsOfAServerThatIsGoneAreForgotten covers nodes that learn of a removed instance at
+// TestFactsOfAServerThatIsGoneAreForgotten covers nodes that receive the removal of an instance at
 // different moments. A node must not keep a fact that arrives after the removal. Otherwise its
 // facts differ from those of all others, and it requests them again and again.
 func TestFactsOfAServerThatIsGoneAreForgotten(t *testing.T) {
--- a/coordination/share.go
+++ b/coordination/loadupdate.go
@@ -38,11 +38,11 @@
 
 // Urgencies, in ascending order.
 const (
-	// UrgencyNone is a regular update.
+	// UrgencyNone is used for regular updates.
 	UrgencyNone Urgency = iota
-	// UrgencyLoad is sent because the load has changed.
+	// UrgencyLoad is used when the load has changed.
 	UrgencyLoad
-	// UrgencyLacking is sent because a request has begun to wait for a model or adapter.
+	// UrgencyLacking is used when a request has begun to wait for a model or adapter.
 	UrgencyLacking
 )
 
--- a/coordination/messages.go
+++ b/coordination/messages.go
@@ -25,7 +25,7 @@
 	Probe *member.Message `msgpack:"p,omitempty"`
 	// Load is the sender's load update.
 	Load *Load `msgpack:"l,omitempty"`
-	// Ask requests what the sender lacks. A receiver that knows of nothing newer reads the store
+	// Ask requests what the sender lacks. A receiver with nothing newer reads the store
 	// and answers if it finds something new.
 	Ask *Versions `msgpack:"a,omitempty"`
 	// Configuration, Instances and Evacuations are the responses to Ask.
@@ -86,7 +86,7 @@
 // Choice is the response to a ChoiceRequest.
 type Choice struct {
 	ID uint64 `msgpack:"i"`
-	// Instance is empty if the dispatcher knows of no suitable instance.
+	// Instance is empty if the dispatcher has no suitable instance.
 	Instance string       `msgpack:"n,omitempty"`
 	Load     balance.Load `msgpack:"l"`
 	Of       int          `msgpack:"o,omitempty"`
@@ -149,7 +149,7 @@
 	// Evacuations is the place of the latest change of the evacuated zones.
 	Evacuations history.Place `msgpack:"z,omitempty"`
 	// InstancesFrom and EvacuationsFrom are the places of the first lists that a daemon watching
-	// the store has read; other daemons leave them zero. The sender does not know of removals
+	// the store has read; other daemons leave them zero. The sender has no record of removals
 	// before them.
 	InstancesFrom   history.Place `msgpack:"b,omitempty"`
 	EvacuationsFrom history.Place `msgpack:"y,omitempty"`
--- a/coordination/node.go
+++ b/coordination/node.go
@@ -297,8 +297,7 @@
 	return false
 }
 
-// ConfigurationLearned applies a configuration unless its version is not newer than the present
-// one.
+// ConfigurationLearned applies a configuration if its version is newer than the present one.
 func (n *Node) ConfigurationLearned(configuration *fleet.Configuration) []Action {
 	n.learnConfiguration(configuration)
 	return n.take()
@@ -330,8 +329,8 @@
 // InstancesAt returns the place in the store's history up to which the instances are complete.
 func (n *Node) InstancesAt() history.Place { return n.instances.At() }
 
-// instancesChanged updates the state that depends on the changed instances. Restored is set if the
-// changes come from a copy from which the store was restored.
+// instancesChanged updates the state that depends on changed instances. Restored is set if the
+// changes are from a list that the store restored from an earlier copy of itself.
 func (n *Node) instancesChanged(now time.Time, from origin, changed []feed.Item[*fleet.Instance], restored bool) {
 	n.noteInstances(now, from, changed)
 	for _, item := range changed {
@@ -356,7 +355,7 @@
 // HolderName returns the daemon last observed to hold the lease on orders.
 func (n *Node) HolderName() string { return n.holderName }
 
-// Leave begins a planned stop.
+// Leave begins a planned stop: the daemon leaves the fleet and releases the lease.
 func (n *Node) Leave() []Action {
 	n.detector.Leave()
 	n.lease.Leave()
--- a/coordination/node_test.go
+++ b/coordination/node_test.go
@@ -199,7 +199,7 @@
 	}
 }
 
-// TestNewsOfAFleetTakesFewLines starts a fleet in which all nodes learn of all instances and of
+// TestNewsOfAFleetTakesFewLines starts a fleet in which all nodes discover all instances and
 // each other, as with hundreds of machines. One log line contains many names, and none is left out.
 func TestNewsOfAFleetTakesFewLines(t *testing.T) {
 	const instances, nodes = 300, 60
--- a/coordination/orders.go
+++ b/coordination/orders.go
@@ -99,7 +99,7 @@
 		n.tellFact(now, now, order.Instance, order.Expected+1)
 	}
 	if answer != residency.AnswerTaken && answer != residency.AnswerDone {
-		n.decide("orders", "Order not accepted by the instance.", "instance", order.Instance, "model", order.Model, "adapter", order.Adapter, "answer", answer.String())
+		n.decide("orders", "Order not confirmed by the instance.", "instance", order.Instance, "model", order.Model, "adapter", order.Adapter, "answer", answer.String())
 	}
 	if answer == residency.AnswerFenced {
 		n.lease.Lost()
--- a/coordination/settings.go
+++ b/coordination/settings.go
@@ -39,11 +39,11 @@
 	// FanOut is the number of daemons to which each daemon forwards such an update.
 	FanOut int
 	// FactsPatience is how long this daemon's facts may differ from the holder's before it requests
-	// them. It is longer than it takes until all daemons know which instances are gone. FactsPause
+	// them. It is longer than it takes until all daemons have received which instances are gone. FactsPause
 	// is the minimum interval between two such requests.
 	FactsPatience time.Duration
 	FactsPause    time.Duration
-	// RefreshAfter is how long another daemon may know of something newer before this one lists the
+	// RefreshAfter is how long another daemon may have a newer version before this one lists the
 	// collection again.
 	RefreshAfter time.Duration
 	// WatchAfter is how long after its start a daemon does not watch the store.
--- a/coordination/world_test.go
+++ b/coordination/world_test.go
@@ -94,7 +94,7 @@
 	return w
 }
 
-// rebuild creates all nodes anew, with adjust applied to the settings of each.
+// rebuild recreates all nodes, with adjust applied to the settings of each.
 func (w *world) rebuild(adjust func(i int, self *member.Member, settings *coordination.Settings)) {
 	for i, name := range w.names() {
 		self := member.Member{Name: name, Zone: fmt.Sprint("z", i%4), PeerAddress: name, CallerAddress: name, Incarnation: 1}
@@ -105,7 +105,7 @@
 	}
 }
 
-// rebuildOne creates one node anew with another incarnation, with the settings of worlds whose
+// rebuildOne recreates one node with another incarnation, with the settings of worlds whose
 // nodes verify their configuration.
 func (w *world) rebuildOne(name string, incarnation uint64, random *rand.Rand) {
 	self := member.Member{Name: name, Zone: w.zones[name], PeerAddress: name, CallerAddress: name, Incarnation: incarnation}
@@ -265,7 +265,7 @@
 	return holders
 }
 
-// setWatchers creates the nodes anew with the given number of nodes that watch the store.
+// setWatchers recreates the nodes with the given number of nodes that watch the store.
 func (w *world) setWatchers(count int) {
 	w.rebuild(func(_ int, _ *member.Member, settings *coordination.Settings) { settings.Watchers = count })
 }
