--- a/coordination/node.go
+++ b/coordination/node.go
@@ -249,7 +249,7 @@
 		n.observeHolder(now, from, load.Fence, *load.Lease)
 	}
 	switch {
-	case !waits(load):
+	case !hasWaiting(load):
 	case n.held:
 		n.planSoon(now)
 	case modelsAt.Equal(now) && n.Group().Leads(from):
@@ -287,8 +287,8 @@
 // Plans returns how often this daemon has planned since its start.
 func (n *Node) Plans() uint64 { return n.plans }
 
-// waits reports whether requests wait for a model or adapter.
-func waits(load Load) bool {
+// hasWaiting reports whether requests wait for a model or adapter.
+func hasWaiting(load Load) bool {
 	for _, model := range load.Models {
 		if model.Waiting > 0 {
 			return true
--- a/coordination/settings.go
+++ b/coordination/settings.go
@@ -39,8 +39,8 @@
 	// FanOut is the number of daemons to which each daemon forwards such an update.
 	FanOut int
 	// FactsPatience is how long this daemon's facts may differ from the holder's before it requests
-	// them. It is longer than it takes until all daemons have received which instances are gone. FactsPause
-	// is the minimum interval between two such requests.
+	// them. It is longer than it takes until all daemons have received which instances are gone.
+	// FactsPause is the minimum interval between two such requests.
 	FactsPatience time.Duration
 	FactsPause    time.Duration
 	// RefreshAfter is how long another daemon may have a newer version before this one lists the
