--- a/coordination/groups_test.go
+++ b/coordination/groups_test.go
@@ -118,7 +118,7 @@
 
 // TestFewNodesWatchInALargeFleet covers nodes that seldom receive messages directly from those that
 // watch the store. They receive evidence of them through others and must not start to watch too,
-// since each watch is priced.
+// since each watch has a price.
 func TestFewNodesWatchInALargeFleet(t *testing.T) {
 	w := newWorld(manyNodes)
 	w.learn()
--- a/coordination/messages.go
+++ b/coordination/messages.go
@@ -54,8 +54,8 @@
 	// Bulletin broadcasts one daemon's observations to all daemons.
 	Bulletin *Bulletin `msgpack:"x,omitempty"`
 	// TenantLimit is about the limits of tenants, InstanceLimit about limits that instances set
-	// themselves. InstanceSlot is about the slots of instances that fall over if they turn requests
-	// away.
+	// for themselves. InstanceSlot is about the slots of brittle instances, which fall over if they
+	// turn requests away.
 	TenantLimit   *limiter.Message `msgpack:"t,omitempty"`
 	InstanceLimit *limiter.Message `msgpack:"v,omitempty"`
 	InstanceSlot  *limiter.Message `msgpack:"j,omitempty"`
--- a/coordination/tree.go
+++ b/coordination/tree.go
@@ -47,7 +47,7 @@
 // childrenOf returns the daemons to which self forwards a message of the root. In a small fleet the
 // root sends it to all. In a large one it sends it to one daemon of each other zone and some of its
 // own, and each zone is a tree of its own. A message then crosses between zones once for each other
-// zone, and not for most of the daemons: bytes between zones are priced.
+// zone, and not for most of the daemons: traffic between zones is charged for.
 func (t *multicastTrees) childrenOf(self, root string, sequence uint64, fanOut int) []string {
 	rootZone, found := t.zoneOf[root]
 	if !found {
