--- a/coordination/demand.go
+++ b/coordination/demand.go
@@ -101,8 +101,8 @@
 }
 
 // validRefused returns the rate of refused requests. It returns zero if the rate is invalid or
-// exceeds the rate of requests that begin, so that one daemon's invalid number does not spoil the
-// sum over all.
+// exceeds the rate of requests that begin. One daemon's invalid number thus does not spoil the sum
+// over all.
 func (l *ModelLoad) validRefused() float32 {
 	if l.Refused > 0 && l.Refused <= l.PerSecond {
 		return l.Refused
--- a/coordination/demandreport.go
+++ b/coordination/demandreport.go
@@ -7,7 +7,7 @@
 const waitingDemandInterval = 20 * time.Millisecond
 
 // reportDemand reports the demand for models to the lease holder, which places models. In a large
-// fleet each dispatcher reports the sum over its group, so the number of reports to the holder
+// fleet each dispatcher reports the sum over its group. The number of reports to the holder thus
 // grows with the groups and not with the daemons.
 func (n *Node) reportDemand(now time.Time) {
 	group, state := n.Group(), &n.sharing
--- a/coordination/members.go
+++ b/coordination/members.go
@@ -35,7 +35,7 @@
 }
 
 // loadFreshness is the age from which the latest load update of a daemon counts as missing in a
-// small fleet, where all daemons send updates to all others five times a second.
+// small fleet. There all daemons send updates to all others five times a second.
 const loadFreshness = time.Second
 
 // TellsAll reports whether the fleet is small enough that each daemon sends load updates to all
--- a/coordination/settings.go
+++ b/coordination/settings.go
@@ -76,9 +76,10 @@
 	PlanServerPause time.Duration
 	// DemandHalfLife is the half-life of past demand in the average.
 	DemandHalfLife time.Duration
-	// MaxPeers bounds the daemons of the own zone, and FarPeers those of other zones, to which a
-	// load update goes in a large fleet if the sender watches the store or has a new configuration.
-	// Otherwise it goes to RestPeers daemons of the own zone and one of another zone.
+	// MaxPeers bounds the daemons of the own zone to which a load update goes in a large fleet, and
+	// FarPeers those of other zones. They apply if the sender watches the store or has a new
+	// configuration or new evacuations. Otherwise an update goes to RestPeers daemons of the own
+	// zone and one of another zone.
 	MaxPeers  int
 	FarPeers  int
 	RestPeers int
