--- a/residency/adapters.go
+++ b/residency/adapters.go
@@ -10,60 +10,60 @@
 	"github.com/wheatweir/wheatweir/internal/mechanism"
 )
 
-// placeForAdapters adds replicas of models whose adapters do not all have a
-// place, while memory is free.
-func (p *plan) placeForAdapters() {
+// addReplicasForAdapters adds replicas of models that have more adapters than adapter slots, while
+// memory is free.
+func (p *plan) addReplicasForAdapters() {
 	for _, model := range p.modelsByDemand() {
-		if p.adapterPlaces(model) < model.Adapters {
+		if p.adapterCapacity(model) < model.Adapters {
 			p.addReplica(model, "adapters", false)
 		}
 	}
 }
 
-// adapterPlaces is how many adapters of a model are resident or have room.
-func (p *plan) adapterPlaces(model *fleet.Model) int {
-	places := 0
+// adapterCapacity is the number of adapters of a model that are resident or have a free slot.
+func (p *plan) adapterCapacity(model *fleet.Model) int {
+	capacity := 0
 	for _, s := range p.hosts[model.Name] {
-		if held := s.models[model.Name]; held != nil && !held.unloading {
-			places += len(held.adapters) + max(0, s.freeAdapters)
+		if replica := s.models[model.Name]; replica != nil && !replica.unloading {
+			capacity += len(replica.adapters) + max(0, s.freeAdapterSlots)
 		}
 	}
-	return places
+	return capacity
 }
 
-// placeAdapters loads adapters that no server has: those that requests wait for,
-// or all others while there is room.
-func (p *plan) placeAdapters(wanted bool) {
+// placeAdapters loads adapters that no instance holds: those that requests wait for, or all others
+// while there is room.
+func (p *plan) placeAdapters(requested bool) {
 	for i := range p.engine.Models {
 		model := &p.engine.Models[i]
 		if model.Adapters == 0 {
 			continue
 		}
-		for _, adapter := range p.missingAdapters(model, wanted) {
-			p.placeAdapter(model, adapter, wanted)
+		for _, adapter := range p.missingAdapters(model, requested) {
+			p.placeAdapter(model, adapter, requested)
 		}
 	}
 }
 
-// homes counts the servers that hold each adapter of a model, or soon will.
-func (p *plan) homes(model string) map[string]int {
-	homes := map[string]int{}
+// adapterReplicas counts the instances that hold each adapter of a model or are about to.
+func (p *plan) adapterReplicas(model string) map[string]int {
+	adapterReplicas := map[string]int{}
 	for _, s := range p.hosts[model] {
-		if held := s.models[model]; held != nil && !held.unloading && !s.silent {
-			for adapter := range held.adapters {
-				homes[adapter]++
+		if replica := s.models[model]; replica != nil && !replica.unloading && !s.unresponsive {
+			for adapter := range replica.adapters {
+				adapterReplicas[adapter]++
 			}
 		}
 	}
-	return homes
+	return adapterReplicas
 }
 
-func (p *plan) missingAdapters(model *fleet.Model, wanted bool) []string {
-	homes := p.homes(model.Name)
+func (p *plan) missingAdapters(model *fleet.Model, requested bool) []string {
+	adapterReplicas := p.adapterReplicas(model.Name)
 	var missing []string
-	if wanted {
+	if requested {
 		for adapter := range p.demand[model.Name].Adapters {
-			if homes[adapter] == 0 {
+			if adapterReplicas[adapter] == 0 {
 				missing = append(missing, adapter)
 			}
 		}
@@ -71,45 +71,45 @@
 		return missing
 	}
 	for number := 1; number <= model.Adapters; number++ {
-		if adapter := adapterName(number); homes[adapter] == 0 {
+		if adapter := adapterName(number); adapterReplicas[adapter] == 0 {
 			missing = append(missing, adapter)
 		}
 	}
 	return missing
 }
 
-// adapterName is how the platform names the adapters of a model.
+// adapterName returns the name that the platform gives an adapter of a model.
 func adapterName(number int) string { return fmt.Sprintf("a%d", number) }
 
-// spareAdapterPlaces is the number of places that each server keeps free for adapters that
-// have no home.
-const spareAdapterPlaces = 1
+// spareAdapterSlots is the number of slots that each instance keeps free for adapters that no
+// instance holds.
+const spareAdapterSlots = 1
 
-// placeSecondHomes gives the adapters of models that are asked for a second home, in places
-// that are free. A server that is lost, or that loads a model for seconds and takes no other
-// order meanwhile, then leaves none of them without a home.
-func (p *plan) placeSecondHomes() {
+// placeSecondAdapterReplicas loads the adapters of requested models on a second instance, into free
+// slots. No adapter then becomes unavailable when an instance is lost, or when it loads a model for
+// seconds and accepts no other order meanwhile.
+func (p *plan) placeSecondAdapterReplicas() {
 	if !mechanism.Enabled(mechanism.SecondHomes) {
 		return
 	}
 	for i := range p.engine.Models {
 		model := &p.engine.Models[i]
-		if model.Adapters == 0 || !p.wanted(model.Name) || p.ready[model.Name] < 2 {
+		if model.Adapters == 0 || !p.requested(model.Name) || p.ready[model.Name] < 2 {
 			continue
 		}
-		homes := p.homes(model.Name)
+		adapterReplicas := p.adapterReplicas(model.Name)
 		for number := 1; number <= model.Adapters; number++ {
-			if adapter := adapterName(number); homes[adapter] == 1 {
-				p.placeSecondHome(model, adapter)
+			if adapter := adapterName(number); adapterReplicas[adapter] == 1 {
+				p.placeSecondAdapterReplica(model, adapter)
 			}
 		}
 	}
 }
 
-func (p *plan) placeSecondHome(model *fleet.Model, adapter string) {
-	var best *slot
+func (p *plan) placeSecondAdapterReplica(model *fleet.Model, adapter string) {
+	var best *projection
 	for _, s := range p.hosts[model.Name] {
-		if !p.takesAdapters(s, model) || s.models[model.Name].adapters[adapter] || s.freeAdapters <= spareAdapterPlaces || s.freeMB < model.AdapterMB {
+		if !p.acceptsAdapters(s, model) || s.models[model.Name].adapters[adapter] || s.freeAdapterSlots <= spareAdapterSlots || s.freeMB < model.AdapterMB {
 			continue
 		}
 		if best == nil || betterAdapterHost(adapter, s, best) {
@@ -121,30 +121,30 @@
 	}
 }
 
-// takesAdapters reports whether a server can be ordered now to load an adapter of a model.
-func (p *plan) takesAdapters(s *slot, model *fleet.Model) bool {
-	held := s.models[model.Name]
-	return held != nil && held.ready && !held.unloading && !s.blocked && !s.modelOrder && s.coming < p.settings.MaxComing
+// acceptsAdapters reports whether an instance can be ordered now to load an adapter of a model.
+func (p *plan) acceptsAdapters(s *projection, model *fleet.Model) bool {
+	replica := s.models[model.Name]
+	return replica != nil && replica.ready && !replica.unloading && !s.blocked && !s.modelOrderPending && s.loading < p.settings.MaxComing
 }
 
-func (p *plan) loadAdapter(s *slot, model *fleet.Model, adapter, reason string) {
-	s.coming++
+func (p *plan) loadAdapter(s *projection, model *fleet.Model, adapter, reason string) {
+	s.loading++
 	s.models[model.Name].adapters[adapter] = true
-	s.freeAdapters--
+	s.freeAdapterSlots--
 	s.freeMB -= model.AdapterMB
-	p.send(s, Order{Load: true, Model: model.Name, Adapter: adapter, Reason: reason})
+	p.addOrder(s, Order{Load: true, Model: model.Name, Adapter: adapter, Reason: reason})
 }
 
-// placeAdapter loads an adapter on the server of its model with the most free
-// places; if none is free and makeRoom is set, it unloads one that another server
-// has too, or that nothing waits for.
+// placeAdapter loads an adapter on the host of its model with the most free slots. If there is no
+// free slot and makeRoom is set, it unloads an adapter that another instance holds too or that no
+// request waits for.
 func (p *plan) placeAdapter(model *fleet.Model, adapter string, makeRoom bool) {
-	var best, full *slot
+	var best, full *projection
 	for _, s := range p.hosts[model.Name] {
-		if !p.takesAdapters(s, model) {
+		if !p.acceptsAdapters(s, model) {
 			continue
 		}
-		if s.freeAdapters <= 0 || s.freeMB < model.AdapterMB {
+		if s.freeAdapterSlots <= 0 || s.freeMB < model.AdapterMB {
 			if full == nil || s.requests < full.requests {
 				full = s
 			}
@@ -161,53 +161,53 @@
 	if !makeRoom {
 		return
 	}
-	if full != nil && full.freeing == 0 {
+	if full != nil && full.unloadingAdapters == 0 {
 		p.unloadAdapter(full, adapter)
-	} else if full == nil && p.hostsComing(model) == 0 {
+	} else if full == nil && p.pendingReplicas(model) == 0 {
 		p.addReplica(model, "adapter wanted", true)
 	}
 }
 
-// hostsComing is how many servers will hold a model soon.
-func (p *plan) hostsComing(model *fleet.Model) int {
+// pendingReplicas is the number of instances that are about to serve a model.
+func (p *plan) pendingReplicas(model *fleet.Model) int {
 	return p.replicas[model.Name] - p.ready[model.Name]
 }
 
-func betterAdapterHost(adapter string, a, b *slot) bool {
-	if a.freeAdapters != b.freeAdapters {
-		return a.freeAdapters > b.freeAdapters
+func betterAdapterHost(adapter string, a, b *projection) bool {
+	if a.freeAdapterSlots != b.freeAdapterSlots {
+		return a.freeAdapterSlots > b.freeAdapterSlots
 	}
 	return xxhash.Sum64String(adapter+a.id()) > xxhash.Sum64String(adapter+b.id())
 }
 
-// unloadAdapter frees a place on a server. Adapters that have another home go first, then
-// those that nothing waits for, in a pseudo-random order, so that no adapter is always the
-// victim.
-func (p *plan) unloadAdapter(s *slot, salt string) {
+// unloadAdapter frees an adapter slot on an instance. Adapters that another instance holds go
+// first, then those that no request waits for. The order is pseudo-random, so that no adapter is
+// always the victim.
+func (p *plan) unloadAdapter(s *projection, salt string) {
 	var best adapterVictim
-	for name, held := range s.models {
-		homes := p.homes(name)
-		for adapter := range held.adapters {
-			victim := adapterVictim{model: name, adapter: adapter, spare: homes[adapter] > 1, rank: xxhash.Sum64String(salt + name + adapter)}
-			if (victim.spare || p.demand[name].Adapters[adapter] == 0) && victim.before(&best) {
+	for name, replica := range s.models {
+		adapterReplicas := p.adapterReplicas(name)
+		for adapter := range replica.adapters {
+			victim := adapterVictim{model: name, adapter: adapter, spare: adapterReplicas[adapter] > 1, rank: xxhash.Sum64String(salt + name + adapter)}
+			if (victim.spare || p.demand[name].Adapters[adapter] == 0) && victim.ranksBefore(&best) {
 				best = victim
 			}
 		}
 	}
 	if best.adapter != "" {
-		p.send(s, Order{Model: best.model, Adapter: best.adapter, Reason: "room for adapter " + salt})
+		p.addOrder(s, Order{Model: best.model, Adapter: best.adapter, Reason: "room for adapter " + salt})
 	}
 }
 
-// adapterVictim is an adapter that may give way on a server.
+// adapterVictim is an adapter on an instance that may be unloaded.
 type adapterVictim struct {
 	model, adapter string
-	// spare says that another server has it too.
+	// spare is set if another instance holds the adapter too.
 	spare bool
 	rank  uint64
 }
 
-func (v *adapterVictim) before(other *adapterVictim) bool {
+func (v *adapterVictim) ranksBefore(other *adapterVictim) bool {
 	if other.adapter == "" || v.spare != other.spare {
 		return other.adapter == "" || v.spare
 	}
--- a/residency/crash.go
+++ b/residency/crash.go
@@ -6,28 +6,29 @@
 	"github.com/wheatweir/wheatweir/fleet"
 )
 
-// crashHolds is how long a crash counts without a further sign: by then the list of instances tells of it, since
-// an entry is removed after three missed heartbeats (3.6 s on the platform).
-const crashHolds = 4 * time.Second
+// crashTTL is how long a crash counts without further evidence. After that the instance list
+// reflects it: the platform removes an entry after three missed heartbeats (3.6 s).
+const crashTTL = 4 * time.Second
 
-// Crashed notes that the address of a server refused a connection at a moment, so what the server held is lost. A
-// report that was asked for later shows that it lives.
+// Crashed records that the address of an instance refused a connection, so that its models are
+// lost. A report that was requested later shows that the instance is alive.
 func (b *Book) Crashed(at time.Time, id string) {
-	if known := b.servers[id]; known != nil && at.After(known.reportAt) {
-		known.crashedAt = at
+	if state := b.instances[id]; state != nil && at.After(state.reportAt) {
+		state.crashedAt = at
 	}
 }
 
-// crashed reports whether the server has crashed lately and has not been heard of since.
-func (s *server) crashed(now time.Time) bool {
-	return !s.crashedAt.IsZero() && now.Sub(s.crashedAt) < crashHolds
+// crashed reports whether the instance has crashed within crashTTL and has sent no report since.
+func (s *instanceState) crashed(now time.Time) bool {
+	return !s.crashedAt.IsZero() && now.Sub(s.crashedAt) < crashTTL
 }
 
-// replacesCrashed reports whether replicas on a crashed server are replaced before the list of instances tells of the
-// crash. That is worth a load only if the replacement is ready sooner than the list would have told.
+// replacesCrashed reports whether replicas on a crashed instance are replaced before the instance
+// list reflects the crash. This is only worth a load if the replacement is ready before the list is
+// updated.
 func replacesCrashed(engine *fleet.Engine) bool {
 	for i := range engine.Models {
-		if engine.Models[i].LoadTime >= crashHolds {
+		if engine.Models[i].LoadTime >= crashTTL {
 			return false
 		}
 	}
--- a/residency/demandshift.go
+++ b/residency/demandshift.go
@@ -3,73 +3,73 @@
 import "time"
 
 const (
-	// shiftSpan is how far back the rates lie that the present ones are compared with.
-	// Demand takes seconds to move on.
-	shiftSpan = 4 * time.Second
-	// shiftPause is the time between two looks.
-	shiftPause = 500 * time.Millisecond
-	// mostShift is the most places by which demand is thought to move on at once.
-	mostShift = 4
-	// shiftChange is how much of the rates must have changed, and shiftFit how much of
-	// this change a shift must explain, to be believed; as squares.
-	shiftChange = 0.05
-	shiftFit    = 0.6
+	// shiftWindow is the age of the rates that the current rates are compared with. A shift of
+	// demand takes seconds.
+	shiftWindow = 4 * time.Second
+	// shiftSampleInterval is the interval between two samples.
+	shiftSampleInterval = 500 * time.Millisecond
+	// maxShift is the maximum number of positions by which demand can shift at once.
+	maxShift = 4
+	// minShiftChange is the minimum change of the rates, relative to their earlier values, and
+	// minShiftFit the share of this change that a shift must explain. Both are ratios of squares.
+	minShiftChange = 0.05
+	minShiftFit    = 0.6
 )
 
-// rates are the requests that begin each second for the models, in the operator's order.
-type rates struct {
-	at    time.Time
-	model []float64
+// rateSample holds the requests that begin each second for each model, in the operator's order.
+type rateSample struct {
+	at       time.Time
+	perModel []float64
 }
 
-// demandShift finds out by how many places demand moves on along the operator's list when it
-// does: it compares the rates with those some seconds ago.
+// demandShift detects by how many positions demand shifts along the operator's list of models. It
+// compares the current rates with those a few seconds ago.
 type demandShift struct {
-	past []rates
-	// step is that number of places; zero until it was seen.
+	samples []rateSample
+	// step is that number of positions. It is zero until a shift was detected.
 	step int
 }
 
-// observe takes in the present rates.
+// observe records the current rates.
 func (d *demandShift) observe(now time.Time, present []float64) {
-	if len(d.past) > 0 && now.Sub(d.past[len(d.past)-1].at) < shiftPause {
+	if len(d.samples) > 0 && now.Sub(d.samples[len(d.samples)-1].at) < shiftSampleInterval {
 		return
 	}
-	for len(d.past) > 1 && now.Sub(d.past[1].at) >= shiftSpan {
-		d.past = d.past[1:]
+	for len(d.samples) > 1 && now.Sub(d.samples[1].at) >= shiftWindow {
+		d.samples = d.samples[1:]
 	}
-	if len(d.past) > 0 && now.Sub(d.past[0].at) >= shiftSpan && len(d.past[0].model) == len(present) {
-		if step := fittingStep(d.past[0].model, present); step > 0 {
+	if len(d.samples) > 0 && now.Sub(d.samples[0].at) >= shiftWindow && len(d.samples[0].perModel) == len(present) {
+		if step := fittingStep(d.samples[0].perModel, present); step > 0 {
 			d.step = step
 		}
 	}
-	d.past = append(d.past, rates{at: now, model: present})
+	d.samples = append(d.samples, rateSample{at: now, perModel: present})
 }
 
-// fittingStep returns the number of places by which the rates before have to be moved so
-// that a part of them, together with the rest in its old place, is most like the rates
-// after. It is zero if the rates are much the same, or no number explains the change.
+// fittingStep returns the shift with which a part of the rates before, moved by that many
+// positions, and the rest in its old position best match the rates after. It is zero if the rates
+// have hardly changed or no shift explains the change.
 func fittingStep(before, after []float64) int {
 	changed, total := 0.0, 0.0
 	for i := range before {
 		changed += (after[i] - before[i]) * (after[i] - before[i])
 		total += before[i] * before[i]
 	}
-	if total == 0 || changed < shiftChange*total {
+	if total == 0 || changed < minShiftChange*total {
 		return 0
 	}
-	best, bestFit := 0, shiftFit
-	for step := 1; step <= mostShift; step++ {
-		if fit := explained(before, after, step) / changed; fit > bestFit {
+	best, bestFit := 0, minShiftFit
+	for step := 1; step <= maxShift; step++ {
+		if fit := explainedChange(before, after, step) / changed; fit > bestFit {
 			best, bestFit = step, fit
 		}
 	}
 	return best
 }
 
-// explained is how much of the squared change is explained if a part of the demand has
-// moved on by a number of places: the least squares fit of after - before by moved - before.
-func explained(before, after []float64, step int) float64 {
+// explainedChange is the part of the squared change that is explained if a share of the demand has
+// moved by step positions: the least squares fit of after - before by moved - before.
+func explainedChange(before, after []float64, step int) float64 {
 	product, square := 0.0, 0.0
 	for i := range before {
 		moved := 0.0
--- a/residency/parking.go
+++ b/residency/parking.go
@@ -7,56 +7,59 @@
 )
 
 const (
-	// idleSpan is how long a model must have had no request before its last replica may be evicted. It covers the
-	// pause between two requests of one client.
-	idleSpan = 3 * time.Second
-	// idleGap is the time between two plans after which idle times start again. A request in a shorter gap is
-	// still above leastAsked in the averages afterwards; one in a longer gap may not be.
-	idleGap = 2 * time.Second
-	// leastExpected is the number of requests in progress from which on a model whose demand is only expected
-	// keeps its last replica. With fewer, that replica would be idle most of the time.
-	leastExpected = 1
+	// minIdleTime is how long a model must have had no request before its last replica may be
+	// evicted. It covers the time between two requests of one client.
+	minIdleTime = 3 * time.Second
+	// maxPlanGap is the longest interval between two plans across which idle times persist. A
+	// request in a shorter gap still keeps the averages above minRequestLevel afterwards; one in a
+	// longer gap may not.
+	maxPlanGap = 2 * time.Second
+	// minForecastDemand is the number of requests in progress at which a model with only forecast
+	// demand keeps its last replica. With fewer, that replica would be idle most of the time.
+	minForecastDemand = 1
 	// swapOverhead is the time that the two orders of a swap and the reports on them take.
 	swapOverhead = 500 * time.Millisecond
-	// contendedLoads is how many times LoadTime a load may take while many servers load from the weight store.
-	contendedLoads = 2
+	// contendedLoadFactor is the multiple of LoadTime that a load may take while many instances
+	// load from the weight store.
+	contendedLoadFactor = 2
 )
 
-// longestSwap bounds the time from the first request for a parked model to the end of its load.
-func longestSwap(model *fleet.Model) time.Duration {
-	return contendedLoads*model.LoadTime + swapOverhead
+// maxSwapTime bounds the time from the first request for a parked model to the end of its load.
+func maxSwapTime(model *fleet.Model) time.Duration {
+	return contendedLoadFactor*model.LoadTime + swapOverhead
 }
 
-// parkable reports whether a model may be parked as far as the clients of its service go: a request for it must get
-// its first token before its client leaves, even if the load is from the weight store.
+// parkable reports whether the client timeout of the service allows a model to be parked, that is,
+// to be left without a replica while it is idle. A request for it must get its first token before
+// the client disconnects, even if the load is from the weight store.
 func (s *Service) parkable(model *fleet.Model) bool {
-	return model != nil && model.LoadTime > 0 && longestSwap(model) <= s.Patience
+	return model != nil && model.LoadTime > 0 && maxSwapTime(model) <= s.Patience
 }
 
-// idleness holds since when the parkable models of a service have been idle.
-type idleness struct {
-	// at is when the last plan was made.
-	at    time.Time
-	since map[string]time.Time
-	// parked is the number of models that were parked then.
+// idleTracker tracks since when the parkable models of a service have been idle.
+type idleTracker struct {
+	// lastPlan is the time of the last plan.
+	lastPlan time.Time
+	since    map[string]time.Time
+	// parked is the number of models that were parked at the last plan.
 	parked int
 }
 
-func (b *Book) idlenessOf(service string) *idleness {
-	known := b.idle[service]
-	if known == nil {
-		known = &idleness{since: map[string]time.Time{}}
-		b.idle[service] = known
+func (b *Book) idleTrackerOf(service string) *idleTracker {
+	tracker := b.idleTrackers[service]
+	if tracker == nil {
+		tracker = &idleTracker{since: map[string]time.Time{}}
+		b.idleTrackers[service] = tracker
 	}
-	return known
+	return tracker
 }
 
-// observe takes in which models are idle now.
-func (i *idleness) observe(p *plan) {
-	if p.now.Sub(i.at) > idleGap {
+// observe records which models are idle now.
+func (i *idleTracker) observe(p *plan) {
+	if p.now.Sub(i.lastPlan) > maxPlanGap {
 		clear(i.since)
 	}
-	i.at = p.now
+	i.lastPlan = p.now
 	i.parked = 0
 	for index := range p.engine.Models {
 		name := p.engine.Models[index].Name
@@ -67,74 +70,77 @@
 		if p.replicas[name] == 0 {
 			i.parked++
 		}
-		if _, known := i.since[name]; !known {
+		if _, found := i.since[name]; !found {
 			i.since[name] = p.now
 		}
 	}
 }
 
-// span is how long a model has been idle without a break.
-func (i *idleness) span(now time.Time, model string) time.Duration {
-	since, known := i.since[model]
-	if !known {
+// duration is how long a model has been idle without interruption.
+func (i *idleTracker) duration(now time.Time, model string) time.Duration {
+	since, found := i.since[model]
+	if !found {
 		return 0
 	}
 	return now.Sub(since)
 }
 
-// Parked returns the number of models that the last plans left without a replica because they are idle.
+// Parked returns the number of idle models that the latest plans left without a replica.
 func (b *Book) Parked() int {
 	total := 0
-	for _, known := range b.idle {
-		total += known.parked
+	for _, tracker := range b.idleTrackers {
+		total += tracker.parked
 	}
 	return total
 }
 
-// mayPark reports whether a model needs no replica now: it can be brought back in time, and it neither receives
-// requests nor is it expected to. Before any demand was seen nothing says which models are idle.
+// mayPark reports whether a model needs no replica now: it can be loaded in time, and it has
+// neither requests nor a forecast of them. Until demand is observed, it is unknown which models are
+// idle.
 func (p *plan) mayPark(name string) bool {
-	return p.demandSeen && p.service.parkable(p.models[name]) && !p.wanted(name) && p.demand[name].Concurrent < leastExpected
+	return p.demandSeen && p.service.parkable(p.models[name]) && !p.requested(name) && p.demand[name].Concurrent < minForecastDemand
 }
 
-// returning reports whether a model is requested while no server serves it, or soon will, and it may have been
-// parked: nobody may have to wait longer for it than longestSwap.
-func (p *plan) returning(name string) bool {
-	return p.reachable[name] == 0 && p.wanted(name) && p.service.parkable(p.models[name])
+// unparking reports whether a model is requested while no instance serves it or is about to, and
+// the model may have been parked. No request may wait longer for it than maxSwapTime.
+func (p *plan) unparking(name string) bool {
+	return p.reachable[name] == 0 && p.requested(name) && p.service.parkable(p.models[name])
 }
 
-// parkCost rates the eviction of the last ready replica of a model in favour of another model, lower is better, and
-// reports whether it may be evicted. To park a model, a model that has replicas must gain as much by one more as it
-// has to in order to go before an unreachable model without requests. Requests that are only expected do not count.
-func (p *plan) parkCost(s *slot, name string, wanted *fleet.Model) (float64, bool) {
-	if !p.wanted(wanted.Name) || !p.mayPark(name) || p.idle.span(p.now, name) < idleSpan {
+// parkCost rates the eviction of the last ready replica of a model in favour of another model; lower
+// is better. It reports whether the eviction is allowed. If the other model already has replicas,
+// its gain by one more must reach the threshold at which it takes precedence over an unreachable
+// model without requests. Requests that are only forecast do not count.
+func (p *plan) parkCost(s *projection, name string, requested *fleet.Model) (float64, bool) {
+	if !p.requested(requested.Name) || !p.mayPark(name) || p.idle.duration(p.now, name) < minIdleTime {
 		return 0, false
 	}
-	cost := p.loadCost(s, wanted) + p.swapCost(s, wanted) + adapterCost*float64(len(s.models[name].adapters))
-	if p.returning(wanted.Name) {
+	cost := p.loadCost(s, requested) + p.swapCost(s, requested) + adapterCost*float64(len(s.models[name].adapters))
+	if p.unparking(requested.Name) {
 		return cost, true
 	}
 	cost += p.settings.PressingGain
-	return cost, cost <= p.unmetGain(wanted.Name)
+	return cost, cost <= p.gainWithoutForecast(requested.Name)
 }
 
-// withhold keeps loads from the weight store back for parked models, so that the growth of others does not delay
-// their return until the rate's window has passed.
-func (p *plan) withhold() {
+// reserveStoreLoads sets loads from the weight store aside for parked models. Otherwise the
+// scale-up of other models would delay their return until the window of the rate limit has passed.
+func (p *plan) reserveStoreLoads() {
 	p.loadsLeft -= min(p.idle.parked, int(p.engine.LoadsPerSecond))
 }
 
-// swap is what a server was last ordered to do for a model: to load it, with the unload before that makes room.
+// swap is the most recent load order of an instance, together with the unload before it that frees
+// the memory.
 type swap struct {
 	model string
 	since time.Time
 }
 
-// noteSwap takes in an order on its way. A load into room that was made for it goes on with the swap, as does an order
-// that is sent again.
-func (s *server) noteSwap(now time.Time, order *Order) {
+// recordSwap records an order that is being sent. A load into memory that was reserved for it
+// continues the same swap, and so does an order that is sent again.
+func (s *instanceState) recordSwap(now time.Time, order *Order) {
 	switch {
-	case s.unsettled != nil:
+	case s.unanswered != nil:
 	case order.RoomFor != "":
 		s.swap = swap{model: order.RoomFor, since: now}
 	case order.Load && order.Adapter == "" && order.Model != s.reservedFor:
@@ -142,12 +148,12 @@
 	}
 }
 
-// overdue reports whether a server has been about to serve a model for so long that those who wait for the model should
-// not depend on it: a swap that hangs may keep its server busy for ever.
-func (p *plan) overdue(s *slot, name string) bool {
+// overdue reports whether a swap on an instance has taken so long that requests waiting for the
+// model should not depend on it. A swap that hangs may keep its instance busy forever.
+func (p *plan) overdue(s *projection, name string) bool {
 	model := p.models[name]
-	if s.server.swap.model != name || !p.wanted(name) || !p.service.parkable(model) {
+	if s.instanceState.swap.model != name || !p.requested(name) || !p.service.parkable(model) {
 		return false
 	}
-	return p.now.Sub(s.server.swap.since) > longestSwap(model)
+	return p.now.Sub(s.instanceState.swap.since) > maxSwapTime(model)
 }
--- a/residency/plan.go
+++ b/residency/plan.go
@@ -8,77 +8,79 @@
 	"github.com/wheatweir/wheatweir/fleet"
 )
 
-// plan is one round of planning for one service.
+// plan is one planning round for one service.
 type plan struct {
 	now      time.Time
 	settings Settings
 	service  *Service
 	engine   *fleet.Engine
 	models   map[string]*fleet.Model
-	// observed is the demand that daemons see, unmet that with the refused requests, and demand that to place for.
-	observed map[string]Demand
-	unmet    map[string]Demand
-	demand   map[string]Demand
-	unserved unserved
-	idle     *idleness
-	// demandSeen says that there has been demand since the first plan.
-	demandSeen bool
-	slots      []*slot
-	// hosts are the slots that hold each model, whether it serves there or not: most models are on a few servers of
-	// thousands.
-	hosts map[string][]*slot
-	// replicas counts, for each model, the servers that serve it or soon will.
+	// observed is the demand that daemons measure. withRefused adds the refused requests to it, and
+	// demand is the demand to place for.
+	observed     map[string]Demand
+	withRefused  map[string]Demand
+	demand       map[string]Demand
+	waitingTimes waitingTimes
+	idle         *idleTracker
+	// demandSeen is set once there has been demand since the first plan.
+	demandSeen  bool
+	projections []*projection
+	// hosts lists the instances that hold each model, whether they serve it or not. Most models are
+	// on a few of thousands of instances.
+	hosts map[string][]*projection
+	// replicas counts, for each model, the instances that serve it or are about to.
 	replicas map[string]int
-	// reachable counts those whose server answers and takes what is asked, ready those that serve it now.
+	// reachable counts those replicas whose instance answers and accepts requests. ready counts
+	// those that serve now.
 	reachable map[string]int
 	ready     map[string]int
 	loadsLeft int
-	// onlySoftware is the software version that the servers for the model being placed must run; nil if any may take it.
-	onlySoftware *string
-	// stuck says that a model that should grow found no place.
-	stuck  bool
-	orders []Order
+	// requiredSoftware is the software version that an instance must run to get the model that is
+	// being placed. It is nil if any version will do.
+	requiredSoftware *string
+	// unplaced is set if no instance could take a replica of a model that should be scaled up.
+	unplaced bool
+	orders   []Order
 }
 
-// Plan returns the orders to send now, at most one for each server. The servers
-// are those of one service with this engine.
+// Plan returns the orders that are due now, at most one for each instance of the service.
 func (b *Book) Plan(now time.Time, service *Service, demand map[string]Demand) []Order {
 	engine := service.Engine
 	p := &plan{
 		now: now, settings: b.settings, service: service, engine: engine, models: modelsByName(engine),
-		observed: demand, demand: demand, unserved: b.unservedOf(service.Name), idle: b.idlenessOf(service.Name),
-		hosts: map[string][]*slot{}, replicas: map[string]int{}, reachable: map[string]int{}, ready: map[string]int{},
-		loadsLeft: b.loads.left(now, engine.LoadsPerSecond, b.settings.Window),
+		observed: demand, demand: demand, waitingTimes: b.waitingTimesOf(service.Name), idle: b.idleTrackerOf(service.Name),
+		hosts: map[string][]*projection{}, replicas: map[string]int{}, reachable: map[string]int{}, ready: map[string]int{},
+		loadsLeft: b.loads.remaining(now, engine.LoadsPerSecond, b.settings.Window),
 	}
 	replaces := replacesCrashed(engine)
-	for _, known := range b.servers {
-		lost := replaces && known.crashed(now)
-		if known.instance.Service == service.Name && !known.instance.Leaving && !lost {
-			s := newSlot(now, known, engine, p.models, b.settings)
-			s.limited = b.limited[known.instance.ID]
-			p.slots = append(p.slots, s)
+	for _, state := range b.instances {
+		excluded := replaces && state.crashed(now)
+		if state.instance.Service == service.Name && !state.instance.Leaving && !excluded {
+			s := newProjection(now, state, engine, p.models, b.settings)
+			s.limited = b.limited[state.instance.ID]
+			p.projections = append(p.projections, s)
 		}
 	}
-	slices.SortFunc(p.slots, func(a, b *slot) int { return cmp.Compare(a.id(), b.id()) })
-	p.count()
-	p.addRefused()
-	p.unmet = p.demand
-	p.expect(b.expectationsOf(service.Name))
+	slices.SortFunc(p.projections, func(a, b *projection) int { return cmp.Compare(a.id(), b.id()) })
+	p.countReplicas()
+	p.addRefusedDemand()
+	p.withRefused = p.demand
+	p.forecastDemand(b.forecastOf(service.Name))
 	p.idle.observe(p)
-	p.unserved.observe(now, engine, demand)
-	p.useRooms()
+	p.waitingTimes.observe(now, engine, demand)
+	p.loadReserved()
 	p.placeAdapters(true)
-	p.makeReachable((*plan).wanted)
-	p.placeForSoftware()
-	p.withhold()
-	p.grow(p.settings.PressingGain)
-	p.makeReachable((*plan).unwanted)
-	p.grow(p.settings.LoadCost)
-	if !p.stuck {
-		p.placeForAdapters()
+	p.makeReachable((*plan).requested)
+	p.addReplicasForSoftware()
+	p.reserveStoreLoads()
+	p.scaleUp(p.settings.PressingGain)
+	p.makeReachable((*plan).notRequested)
+	p.scaleUp(p.settings.LoadCost)
+	if !p.unplaced {
+		p.addReplicasForAdapters()
 	}
 	p.placeAdapters(false)
-	p.placeSecondHomes()
+	p.placeSecondAdapterReplicas()
 	return p.orders
 }
 
@@ -90,28 +92,28 @@
 	return models
 }
 
-func (s *slot) id() string { return s.server.instance.ID }
+func (s *projection) id() string { return s.instanceState.instance.ID }
 
-func (p *plan) count() {
-	for _, s := range p.slots {
-		for model, held := range s.models {
+func (p *plan) countReplicas() {
+	for _, s := range p.projections {
+		for model, replica := range s.models {
 			p.hosts[model] = append(p.hosts[model], s)
-			if held.unloading {
+			if replica.unloading {
 				continue
 			}
 			p.replicas[model]++
-			if !held.ready && p.overdue(s, model) {
+			if !replica.ready && p.overdue(s, model) {
 				continue
 			}
-			if s.silent || s.quiet && !held.ready || s.limited && p.wanted(model) {
+			if s.unresponsive || s.suspect && !replica.ready || s.limited && p.requested(model) {
 				continue
 			}
 			p.reachable[model]++
-			if held.ready {
+			if replica.ready {
 				p.ready[model]++
 			}
 		}
-		if s.reservedFor != "" && !s.serves(s.reservedFor) && !s.quiet {
+		if s.reservedFor != "" && !s.serves(s.reservedFor) && !s.suspect {
 			p.replicas[s.reservedFor]++
 			if p.overdue(s, s.reservedFor) {
 				continue
@@ -121,68 +123,69 @@
 	}
 }
 
-// useRooms loads the models that room was made for. Room that has to wait for the weight store
-// counts against its rate, so that nobody else uses the load that it was made for.
-func (p *plan) useRooms() {
+// loadReserved loads models into the memory that was freed for them. A reservation that has to wait
+// for the weight store counts against its rate limit, so that no other model uses up the load it
+// needs.
+func (p *plan) loadReserved() {
 	waiting := 0
-	for _, s := range p.slots {
+	for _, s := range p.projections {
 		model := p.models[s.reservedFor]
 		if model == nil || s.models[model.Name] != nil {
 			continue
 		}
-		ready := !s.blocked && !s.modelOrder && !s.limited && s.freeMB >= model.WeightsMB
+		ready := !s.blocked && !s.modelOrderPending && !s.limited && s.freeMB >= model.WeightsMB
 		switch {
 		case ready && p.mayLoad(s, model):
 			p.load(s, model, "room was made")
-		case !s.atHand[model.Name] && !s.quiet:
+		case !s.localCopy[model.Name] && !s.suspect:
 			waiting++
 		}
 	}
 	p.loadsLeft -= waiting
 }
 
-// mayLoad reports whether a server may load a model as far as the weight store goes. One
-// that left its last question unanswered may not answer the order either, and the load
-// would count against the store's rate for long.
-func (p *plan) mayLoad(s *slot, model *fleet.Model) bool {
-	return s.atHand[model.Name] || p.loadsLeft > 0 && s.server.silentSince.IsZero()
+// mayLoad reports whether the rate limit of the weight store allows an instance to load a model. An
+// instance that left its last report request unanswered may not answer the order either, and such a
+// load would count against the rate limit for a long time.
+func (p *plan) mayLoad(s *projection, model *fleet.Model) bool {
+	return s.localCopy[model.Name] || p.loadsLeft > 0 && s.instanceState.unresponsiveSince.IsZero()
 }
 
-// load orders a server to load a model.
-func (p *plan) load(s *slot, model *fleet.Model, reason string) {
-	fromStore := !s.atHand[model.Name]
+// load orders an instance to load a model.
+func (p *plan) load(s *projection, model *fleet.Model, reason string) {
+	fromStore := !s.localCopy[model.Name]
 	if fromStore {
 		p.loadsLeft--
 	}
-	p.send(s, Order{Load: true, Model: model.Name, FromStore: fromStore, Reason: reason})
-	s.modelOrder = true
+	p.addOrder(s, Order{Load: true, Model: model.Name, FromStore: fromStore, Reason: reason})
+	s.modelOrderPending = true
 	if s.models[model.Name] == nil {
 		p.hosts[model.Name] = append(p.hosts[model.Name], s)
 	}
-	s.hold(model.Name)
+	s.ensureReplica(model.Name)
 	s.freeMB -= model.WeightsMB
 }
 
-// makeReachable gives the models of one kind that no server serves, or only servers that answer
-// nothing, a replica. Nothing is evicted for a model that may be parked.
-func (p *plan) makeReachable(kind func(*plan, string) bool) {
+// makeReachable adds a replica of each included model that no responsive instance serves. Nothing
+// is evicted for a model that may be parked.
+func (p *plan) makeReachable(include func(*plan, string) bool) {
 	for _, model := range p.modelsByDemand() {
-		if p.reachable[model.Name] == 0 && kind(p, model.Name) {
+		if p.reachable[model.Name] == 0 && include(p, model.Name) {
 			p.addReplica(model, "unreachable", !p.mayPark(model.Name))
 		}
 	}
 }
 
-// wanted reports whether requests ask for a model now.
-func (p *plan) wanted(model string) bool {
-	seen := p.observed[model]
-	return seen.Waiting > 0 || seen.Concurrent >= leastAsked || seen.PerSecond >= leastAsked
+// requested reports whether there are requests for a model now.
+func (p *plan) requested(model string) bool {
+	current := p.observed[model]
+	return current.Waiting > 0 || current.Concurrent >= minRequestLevel || current.PerSecond >= minRequestLevel
 }
 
-func (p *plan) unwanted(model string) bool { return !p.wanted(model) }
+func (p *plan) notRequested(model string) bool { return !p.requested(model) }
 
-// modelsByDemand lists the models with the greatest demand for each replica
-// first; among models without demand, those with adapters come first.
+// modelsByDemand sorts the models by descending demand for each replica. Among models with equal
+// demand, those with more adapters come first.
 func (p *plan) modelsByDemand() []*fleet.Model {
 	models := make([]*fleet.Model, len(p.engine.Models))
 	for i := range p.engine.Models {
@@ -201,14 +204,14 @@
 	return models
 }
 
-// addReplica loads a model on the best server with room. If there is none and
-// makeRoom is set, it unloads a replica that another model can spare. It reports
-// whether it sent an order.
+// addReplica loads a model on the best instance with enough free memory. If there is none and
+// makeRoom is set, it evicts a replica that another model can spare. It reports whether it added an
+// order.
 func (p *plan) addReplica(model *fleet.Model, reason string, makeRoom bool) bool {
-	var best *slot
+	var best *projection
 	inZone := p.replicasInZones(model.Name)
-	for _, s := range p.slots {
-		if s.blocked || s.modelOrder || s.limited || s.models[model.Name] != nil || s.freeMB < model.WeightsMB || !p.mayHost(s) {
+	for _, s := range p.projections {
+		if s.blocked || s.modelOrderPending || s.limited || s.models[model.Name] != nil || s.freeMB < model.WeightsMB || !p.matchesSoftware(s) {
 			continue
 		}
 		if s.reservedFor != "" || !p.mayLoad(s, model) {
@@ -225,25 +228,25 @@
 		return makeRoom && p.makeRoom(model)
 	}
 	p.load(best, model, reason)
-	p.onItsWay(model.Name)
+	p.countPending(model.Name)
 	return true
 }
 
-// onItsWay counts a replica whose load or room this plan orders as the next plan will count it: until it serves, a model
-// without another one is not worth a second place as much as the first.
-func (p *plan) onItsWay(model string) {
+// countPending counts a replica that this plan orders, or frees memory for, in the same way as the
+// next plan will. Until it serves, a second replica is not worth as much as the first.
+func (p *plan) countPending(model string) {
 	p.replicas[model]++
 	p.reachable[model]++
 }
 
-// betterHost prefers a server with a copy at hand and little to do, in another zone than
-// the replicas there are; then free places for adapters, then free memory.
-func (p *plan) betterHost(model *fleet.Model, a, b *slot, inZone map[string]int) bool {
+// betterHost prefers an instance with a local copy and little load, in another zone than the
+// existing replicas. It then prefers free adapter slots, then free memory.
+func (p *plan) betterHost(model *fleet.Model, a, b *projection, inZone map[string]int) bool {
 	if x, y := p.hostCost(model, a, inZone), p.hostCost(model, b, inZone); x != y {
 		return x < y
 	}
-	if model.Adapters > 0 && a.freeAdapters != b.freeAdapters {
-		return a.freeAdapters > b.freeAdapters
+	if model.Adapters > 0 && a.freeAdapterSlots != b.freeAdapterSlots {
+		return a.freeAdapterSlots > b.freeAdapterSlots
 	}
 	if a.freeMB != b.freeMB {
 		return a.freeMB > b.freeMB
@@ -251,42 +254,42 @@
 	return a.requests < b.requests
 }
 
-// sameZoneCost is what each replica of the model in the same zone counts against a host.
+// sameZoneCost is added to the cost of a host for each replica of the model in its zone.
 const sameZoneCost = 0.1
 
-// hostCost rates a server as the host of one more replica; lower is better.
-func (p *plan) hostCost(model *fleet.Model, s *slot, inZone map[string]int) float64 {
-	return p.loadCost(s, model) + p.expectedLoad(s) + sameZoneCost*float64(inZone[s.server.instance.Zone])
+// hostCost rates an instance as the host of one more replica. Lower is better.
+func (p *plan) hostCost(model *fleet.Model, s *projection, inZone map[string]int) float64 {
+	return p.loadCost(s, model) + p.expectedLoad(s) + sameZoneCost*float64(inZone[s.instanceState.instance.Zone])
 }
 
-// expectedLoad is the requests that a server has to carry if the replicas of each model
-// share its requests alike, in units of ReplicaLoad.
-func (p *plan) expectedLoad(s *slot) float64 {
+// expectedLoad is the number of requests on an instance if the replicas of each model share its
+// requests equally, in units of ReplicaLoad.
+func (p *plan) expectedLoad(s *projection) float64 {
 	total := 0.0
-	for name, held := range s.models {
-		if !held.unloading {
+	for name, replica := range s.models {
+		if !replica.unloading {
 			total += p.demand[name].Concurrent / float64(max(1, p.replicas[name]))
 		}
 	}
 	return total / p.settings.ReplicaLoad
 }
 
-// replicasInZones counts the servers of each zone that serve a model.
+// replicasInZones counts the instances in each zone that serve a model.
 func (p *plan) replicasInZones(model string) map[string]int {
 	counts := map[string]int{}
 	for _, s := range p.hosts[model] {
 		if s.serves(model) {
-			counts[s.server.instance.Zone]++
+			counts[s.instanceState.instance.Zone]++
 		}
 	}
 	return counts
 }
 
-func (p *plan) send(s *slot, order Order) {
+func (p *plan) addOrder(s *projection, order Order) {
 	order.Instance = s.id()
-	order.Address = s.server.instance.Address
-	order.Expected = s.next
-	s.next++
+	order.Address = s.instanceState.instance.Address
+	order.Expected = s.nextSequence
+	s.nextSequence++
 	s.blocked = true
 	p.orders = append(p.orders, order)
 }
--- a/residency/refused.go
+++ b/residency/refused.go
@@ -3,14 +3,16 @@
 import "math"
 
 const (
-	// repeatShare is the part of the refused requests that count: clients come back once after a refusal, so about
-	// half of the refused requests are ones that were refused before.
-	repeatShare = 0.5
-	// mostUnmet bounds the demand as if nothing were refused, as a multiple of the requests in progress.
-	mostUnmet = 4
+	// refusedRetryShare is the share of the refused requests that are retries. Clients retry once
+	// after a refusal, so about half of the refused requests were refused before.
+	refusedRetryShare = 0.5
+	// maxUnmetFactor bounds the demand including refused requests, as a multiple of the requests in
+	// progress.
+	maxUnmetFactor = 4
 )
 
-// refusedRate returns the rate of refused requests, or zero if it is no possible part of the requests that begin.
+// refusedRate returns the rate of refused requests, or zero if it is not a valid part of the rate
+// of all requests.
 func (d *Demand) refusedRate() float64 {
 	if math.IsInf(d.PerSecond, 0) || !(d.RefusedPerSecond > 0 && d.RefusedPerSecond <= d.PerSecond) {
 		return 0
@@ -18,23 +20,23 @@
 	return d.RefusedPerSecond
 }
 
-// unrefused returns the requests that would be in progress if those that were refused had been served. Usual is how
-// many seconds a request is in progress, over all models.
-func (d *Demand) unrefused(usual float64) float64 {
+// concurrentWithRefused returns the number of requests that would be in progress if none had been
+// refused. meanSeconds is the mean time in progress of a request, over all models.
+func (d *Demand) concurrentWithRefused(meanSeconds float64) float64 {
 	refused := d.refusedRate()
 	if refused == 0 {
 		return d.Concurrent
 	}
-	if d.Concurrent < leastAsked {
-		return max(d.Concurrent, refused*usual)
+	if d.Concurrent < minRequestLevel {
+		return max(d.Concurrent, refused*meanSeconds)
 	}
-	served := d.PerSecond - repeatShare*refused
-	return min(d.Concurrent*d.PerSecond/served, mostUnmet*d.Concurrent)
+	served := d.PerSecond - refusedRetryShare*refused
+	return min(d.Concurrent*d.PerSecond/served, maxUnmetFactor*d.Concurrent)
 }
 
-// addRefused makes the refused requests for models that can be loaded in time count as demand to place for. A load
-// that takes longer is ready only after the demand has moved on.
-func (p *plan) addRefused() {
+// addRefusedDemand adds the refused requests for models with a short load time to the demand to
+// place for. A load that takes longer is only ready after the demand has moved on.
+func (p *plan) addRefusedDemand() {
 	var refused []string
 	for i := range p.engine.Models {
 		model := &p.engine.Models[i]
@@ -46,15 +48,15 @@
 	if len(refused) == 0 {
 		return
 	}
-	usual := p.usualRun()
-	counted := make(map[string]Demand, len(p.demand))
+	meanSeconds := p.meanRequestSeconds()
+	demands := make(map[string]Demand, len(p.demand))
 	for name, demand := range p.demand {
-		counted[name] = demand
+		demands[name] = demand
 	}
 	for _, name := range refused {
-		demand := counted[name]
-		demand.Concurrent = demand.unrefused(usual)
-		counted[name] = demand
+		demand := demands[name]
+		demand.Concurrent = demand.concurrentWithRefused(meanSeconds)
+		demands[name] = demand
 	}
-	p.demand = counted
+	p.demand = demands
 }
--- a/residency/software.go
+++ b/residency/software.go
@@ -5,33 +5,34 @@
 	"slices"
 )
 
-// placeForSoftware gives models a replica on a server of each software version at which streams wait for them: those cannot go
-// on at the replicas on servers of other versions.
-func (p *plan) placeForSoftware() {
+// addReplicasForSoftware adds a replica of a model on an instance of each software version that
+// streams wait for. Such a stream cannot resume on an instance of another version.
+func (p *plan) addReplicasForSoftware() {
 	for _, model := range p.modelsByDemand() {
 		waiting := p.observed[model.Name].Software
 		for _, software := range slices.Sorted(maps.Keys(waiting)) {
-			if waiting[software] <= 0 || p.hostedAt(model.Name, software) {
+			if waiting[software] <= 0 || p.servedBySoftware(model.Name, software) {
 				continue
 			}
-			p.onlySoftware = &software
+			p.requiredSoftware = &software
 			p.addReplica(model, "software "+software, true)
-			p.onlySoftware = nil
+			p.requiredSoftware = nil
 		}
 	}
 }
 
-// hostedAt reports whether a server of a software version serves a model, or soon will.
-func (p *plan) hostedAt(model, software string) bool {
-	for _, s := range p.slots {
-		if s.server.instance.Software == software && !s.silent && (s.serves(model) || s.reservedFor == model) {
+// servedBySoftware reports whether an instance of a software version serves a model or is about to.
+func (p *plan) servedBySoftware(model, software string) bool {
+	for _, s := range p.projections {
+		if s.instanceState.instance.Software == software && !s.unresponsive && (s.serves(model) || s.reservedFor == model) {
 			return true
 		}
 	}
 	return false
 }
 
-// mayHost reports whether a server may take the model that is being placed, as far as its software goes.
-func (p *plan) mayHost(s *slot) bool {
-	return p.onlySoftware == nil || s.server.instance.Software == *p.onlySoftware
+// matchesSoftware reports whether the software version of an instance allows it to take the model
+// that is being placed.
+func (p *plan) matchesSoftware(s *projection) bool {
+	return p.requiredSoftware == nil || s.instanceState.instance.Software == *p.requiredSoftware
 }
