--- a/residency/adapters_test.go
+++ b/residency/adapters_test.go
@@ -8,11 +8,12 @@
 	"github.com/wheatweir/wheatweir/residency"
 )
 
-// adaptersOnTwo is two servers with one model each of two, and places for adapters.
-func adaptersOnTwo(adapters, places int) *calm {
-	c := newCalm(
-		&modelServer{id: "s0", models: map[string][]string{"m": nil, "other": nil}},
-		&modelServer{id: "s1", models: map[string][]string{"m": nil, "other": nil}},
+// twoInstanceDeployment has two instances that hold the same two models, with the given number of
+// adapter slots.
+func twoInstanceDeployment(adapters, places int) *promptDeployment {
+	c := newPromptDeployment(
+		&fakeInstance{id: "s0", models: map[string][]string{"m": nil, "other": nil}},
+		&fakeInstance{id: "s1", models: map[string][]string{"m": nil, "other": nil}},
 	)
 	c.engine = &fleet.Engine{
 		Slots: 32, WeightsMB: 300, AdapterSlots: places, LoadsPerSecond: 1,
@@ -21,45 +22,45 @@
 	return c
 }
 
-// homesOf counts the servers that hold each adapter of a model.
-func (c *calm) homesOf(model string) map[string]int {
-	homes := map[string]int{}
-	for _, s := range c.servers {
+// adapterReplicas counts the instances that hold each adapter of a model.
+func (c *promptDeployment) adapterReplicas(model string) map[string]int {
+	counts := map[string]int{}
+	for _, s := range c.instances {
 		for _, adapter := range s.models[model] {
-			homes[adapter]++
+			counts[adapter]++
 		}
 	}
-	return homes
+	return counts
 }
 
 func TestAdaptersOfModelsThatAreAskedForHaveTwoHomes(t *testing.T) {
-	asked := map[string]residency.Demand{"m": {Concurrent: 4, PerSecond: 2}}
+	requested := map[string]residency.Demand{"m": {Concurrent: 4, PerSecond: 2}}
 	cases := []struct {
 		name             string
 		adapters, places int
 		demand           map[string]residency.Demand
 		twice            bool
 	}{
-		{"asked for", 3, 6, asked, true},
-		{"not asked for", 3, 6, nil, false},
-		{"no places for all of them twice", 5, 6, asked, false},
+		{"requested", 3, 6, requested, true},
+		{"not requested", 3, 6, nil, false},
+		{"too few slots for two replicas of each", 5, 6, requested, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			two := adaptersOnTwo(c.adapters, c.places)
-			two.run(5*time.Second, c.demand)
-			homes := two.homesOf("m")
-			if len(homes) != c.adapters || two.homesOf("other")["a1"] == 0 {
-				t.Fatalf("homes %v, of the other model %v", homes, two.homesOf("other"))
+			deployment := twoInstanceDeployment(c.adapters, c.places)
+			deployment.run(5*time.Second, c.demand)
+			counts := deployment.adapterReplicas("m")
+			if len(counts) != c.adapters || deployment.adapterReplicas("other")["a1"] == 0 {
+				t.Fatalf("adapter replicas %v, of the other model %v", counts, deployment.adapterReplicas("other"))
 			}
 			twice := true
-			for _, count := range homes {
+			for _, count := range counts {
 				twice = twice && count == 2
 			}
 			if twice != c.twice {
-				t.Errorf("homes %v", homes)
+				t.Errorf("adapter replicas %v", counts)
 			}
-			for _, s := range two.servers {
+			for _, s := range deployment.instances {
 				if held := len(s.models["m"]) + len(s.models["other"]); held > c.places {
 					t.Errorf("%s holds %d adapters", s.id, held)
 				}
@@ -68,21 +69,21 @@
 	}
 }
 
-// TestAnAdapterWithAnotherHomeGivesWay fills all places: the adapter that is waited for takes
-// the place of one that another server has too, never of the only one.
+// TestAnAdapterWithAnotherHomeGivesWay fills all adapter slots. A requested adapter replaces one
+// that the other instance holds too, and never the only replica of an adapter.
 func TestAnAdapterWithAnotherHomeGivesWay(t *testing.T) {
-	two := adaptersOnTwo(5, 3)
-	two.servers[0].models["m"] = []string{"a1", "a2", "a3"}
-	two.servers[1].models["m"] = []string{"a1", "a4"}
-	two.servers[1].models["other"] = []string{"a1"}
-	two.run(2*time.Second, map[string]residency.Demand{"m": {Concurrent: 4, PerSecond: 2, Adapters: map[string]int{"a5": 1}}})
-	homes := two.homesOf("m")
+	deployment := twoInstanceDeployment(5, 3)
+	deployment.instances[0].models["m"] = []string{"a1", "a2", "a3"}
+	deployment.instances[1].models["m"] = []string{"a1", "a4"}
+	deployment.instances[1].models["other"] = []string{"a1"}
+	deployment.run(2*time.Second, map[string]residency.Demand{"m": {Concurrent: 4, PerSecond: 2, Adapters: map[string]int{"a5": 1}}})
+	counts := deployment.adapterReplicas("m")
 	for _, adapter := range []string{"a1", "a2", "a3", "a4", "a5"} {
-		if homes[adapter] == 0 {
-			t.Errorf("%s has no home: %v", adapter, homes)
+		if counts[adapter] == 0 {
+			t.Errorf("%s has no replica: %v", adapter, counts)
 		}
 	}
-	if two.homesOf("other")["a1"] == 0 {
-		t.Error("the only home of another model's adapter was taken")
+	if deployment.adapterReplicas("other")["a1"] == 0 {
+		t.Error("the only replica of another model's adapter was unloaded")
 	}
 }
--- a/residency/parking_test.go
+++ b/residency/parking_test.go
@@ -11,15 +11,16 @@
 
 const (
 	busyModels, idleModels, rareModels = 18, 27, 81
-	contendedServers                   = 90
+	contendedInstances                 = 90
 )
 
-// contendedFleet is a deployment with room for 180 replicas of 126 models. 18 models are asked for and refused, 27 are
-// idle and 81 are asked for now and then. The models without a place of their own have further replicas of the others.
-func contendedFleet() *parkFleet {
+// contendedSimulation has room for 180 replicas of 126 models. 18 models are requested and refused,
+// 27 are idle, and 81 are requested occasionally. The remaining room is used by second replicas of
+// the busy and the rarely requested models.
+func contendedSimulation() *parkingSimulation {
 	models := busyModels + idleModels + rareModels
-	places := make([][]int, contendedServers)
-	for i := range 2 * contendedServers {
+	places := make([][]int, contendedInstances)
+	for i := range 2 * contendedInstances {
 		model := i
 		if i >= models {
 			model = i - models
@@ -27,21 +28,21 @@
 				model += idleModels
 			}
 		}
-		places[i%contendedServers] = append(places[i%contendedServers], model)
+		places[i%contendedInstances] = append(places[i%contendedInstances], model)
 	}
-	return newParkFleet(models, places...)
+	return newParkingSimulation(models, places...)
 }
 
-func (f *parkFleet) askContended() {
+func (f *parkingSimulation) requestContended() {
 	for i := range busyModels {
-		f.asked[modelName(i)] = 19
+		f.requestRate[modelName(i)] = 19
 	}
 	for i := range rareModels {
-		f.asked[modelName(busyModels+idleModels+i)] = 0.2
+		f.requestRate[modelName(busyModels+idleModels+i)] = 0.2
 	}
 }
 
-func (f *parkFleet) busyReplicas() int {
+func (f *parkingSimulation) busyReplicas() int {
 	total := 0
 	for i := range busyModels {
 		total += f.ready(modelName(i))
@@ -49,40 +50,41 @@
 	return total
 }
 
-// TestIdleModelsMakeRoomForRefusedOnes guards against refused requests beside replicas that nobody uses: with parking,
-// the busy models have more replicas within seconds than without, and no wanted model is without one.
+// TestIdleModelsMakeRoomForRefusedOnes guards against refused requests while replicas are idle.
+// With parking, the busy models have more replicas within seconds than without, and no requested
+// model is without one.
 func TestIdleModelsMakeRoomForRefusedOnes(t *testing.T) {
-	const span = 15 * time.Second
+	const duration = 15 * time.Second
 	replicas := map[time.Duration]int{}
-	for _, patience := range []time.Duration{0, parkPatience} {
-		f := contendedFleet()
-		f.service.Patience = patience
+	for _, clientTimeout := range []time.Duration{0, parkClientTimeout} {
+		f := contendedSimulation()
+		f.service.Patience = clientTimeout
 		f.run(2*time.Second, nil)
-		f.askContended()
-		f.run(span, func() {
-			for name := range f.asked {
+		f.requestContended()
+		f.run(duration, func() {
+			for name := range f.requestRate {
 				if f.ready(name) == 0 {
-					t.Fatalf("patience %v: %s has no replica after %v", patience, name, f.now.Sub(time.Unix(1000, 0)))
+					t.Fatalf("client timeout %v: %s has no replica after %v", clientTimeout, name, f.now.Sub(time.Unix(1000, 0)))
 				}
 			}
 		})
-		replicas[patience] = f.busyReplicas()
-		t.Logf("patience %v: %d replicas of the busy models, %d models parked, %d orders", patience, replicas[patience], f.book.Parked(), len(f.orders))
+		replicas[clientTimeout] = f.busyReplicas()
+		t.Logf("client timeout %v: %d replicas of the busy models, %d models parked, %d orders", clientTimeout, replicas[clientTimeout], f.tracker.Parked(), len(f.orders))
 	}
-	if more := replicas[parkPatience] - replicas[0]; more < 10 {
-		t.Errorf("%d replicas more with parking", more)
+	if more := replicas[parkClientTimeout] - replicas[0]; more < 10 {
+		t.Errorf("parking gives the busy models %d more replicas, want at least 10", more)
 	}
 }
 
-// TestNothingIsParkedTooSoon guards against models that lose their last replica before demand was seen, or before they
-// have been idle for 3 s.
+// TestNothingIsParkedTooSoon guards against models that lose their last replica before there was
+// any demand, or before they have been idle for 3 s.
 func TestNothingIsParkedTooSoon(t *testing.T) {
-	f := contendedFleet()
+	f := contendedSimulation()
 	f.run(10*time.Second, nil)
-	if len(f.orders) > 0 || f.book.Parked() > 0 {
+	if len(f.orders) > 0 || f.tracker.Parked() > 0 {
 		t.Fatalf("orders %v before any demand", f.orders)
 	}
-	f.askContended()
+	f.requestContended()
 	idle := modelName(busyModels + 5)
 	began := f.now
 	f.run(4*time.Second, func() {
@@ -90,9 +92,9 @@
 			t.Fatalf("parked after %v", f.now.Sub(began))
 		}
 		if f.now.Sub(began) < 2*time.Second {
-			f.asked[idle] = 1
+			f.requestRate[idle] = 1
 		} else {
-			delete(f.asked, idle)
+			delete(f.requestRate, idle)
 		}
 		if f.ready(idle) == 0 {
 			t.Fatalf("%s parked %v after the last request", idle, f.now.Sub(began)-2*time.Second)
@@ -100,12 +102,12 @@
 	})
 }
 
-// TestIdleTimesStartAgainAfterAPause guards against a sender of orders that takes up again and counts as idle what was
-// asked for while it did not plan.
+// TestIdleTimesStartAgainAfterAPause guards against a daemon that resumes planning and counts
+// models as idle that were requested while it did not plan.
 func TestIdleTimesStartAgainAfterAPause(t *testing.T) {
-	f := contendedFleet()
+	f := contendedSimulation()
 	f.service.Engine.LoadsPerSecond = 0
-	f.askContended()
+	f.requestContended()
 	f.run(5*time.Second, nil)
 	f.plansFrom = f.now.Add(10 * time.Second)
 	f.run(10*time.Second, nil)
@@ -118,30 +120,31 @@
 	}
 }
 
-// TestExpectedModelsAreNotParked guards against models that lose their last replica just before demand moves on to them.
+// TestExpectedModelsAreNotParked guards against models that lose their last replica just before
+// demand moves to them.
 func TestExpectedModelsAreNotParked(t *testing.T) {
-	f := contendedFleet()
-	f.askContended()
+	f := contendedSimulation()
+	f.requestContended()
 	f.run(15*time.Second, func() {
 		for next := range 2 {
 			if name := modelName(busyModels + next); f.ready(name) == 0 {
-				t.Fatalf("%s is parked although it follows a busy model", name)
+				t.Fatalf("%s is parked although demand is forecast for it", name)
 			}
 		}
 	})
-	if f.book.Parked() == 0 {
-		t.Error("nothing was parked")
+	if f.tracker.Parked() == 0 {
+		t.Error("no model was parked")
 	}
 }
 
-// TestSeveralModelsGrowInOnePlan guards against growth that takes one model after the other.
+// TestSeveralModelsGrowInOnePlan guards against a scale-up of only one model in each plan.
 func TestSeveralModelsGrowInOnePlan(t *testing.T) {
-	f := contendedFleet()
+	f := contendedSimulation()
 	f.service.Patience = 0
-	f.askContended()
+	f.requestContended()
 	f.run(15*time.Second, nil)
-	f.service.Patience = parkPatience
-	grown, most := map[time.Time]map[string]bool{}, 0
+	f.service.Patience = parkClientTimeout
+	grown, maxGrown := map[time.Time]map[string]bool{}, 0
 	f.beforeSend = func(order residency.Order) {
 		if order.RoomFor == "" {
 			return
@@ -150,28 +153,29 @@
 			grown[f.now] = map[string]bool{}
 		}
 		grown[f.now][order.RoomFor] = true
-		most = max(most, len(grown[f.now]))
+		maxGrown = max(maxGrown, len(grown[f.now]))
 	}
 	f.run(5*time.Second, nil)
-	if most < 5 {
-		t.Errorf("at most %d models grow in one plan", most)
+	if maxGrown < 5 {
+		t.Errorf("at most %d models are scaled up in one plan, want at least 5", maxGrown)
 	}
 }
 
-// TestVictimHasACopyAtHand guards against parking a model that can only come back from the weight store while another
-// one has a copy; and of those that have one, the one that has been idle longest goes first.
+// TestVictimHasACopyAtHand guards against parking a model that can only be loaded from the weight
+// store while another idle model has a local copy. Of the models with a local copy, the one that
+// has been idle longest is parked first.
 func TestVictimHasACopyAtHand(t *testing.T) {
-	f := newParkFleet(10, []int{0, 3}, []int{1, 4}, []int{2, 5}, []int{8, 6}, []int{9, 7})
+	f := newParkingSimulation(10, []int{0, 3}, []int{1, 4}, []int{2, 5}, []int{8, 6}, []int{9, 7})
 	for i := 1; i < 10; i++ {
-		f.asked[modelName(i)] = 0.5
+		f.requestRate[modelName(i)] = 0.5
 	}
-	delete(f.servers[1].copies, modelName(4))
-	for _, longest := range []int{4, 7, 6, 5} {
-		delete(f.asked, modelName(longest))
+	delete(f.instances[1].copies, modelName(4))
+	for _, longestOutage := range []int{4, 7, 6, 5} {
+		delete(f.requestRate, modelName(longestOutage))
 		f.run(time.Second, nil)
 	}
 	f.run(30*time.Second, nil)
-	f.asked[modelName(0)] = 30
+	f.requestRate[modelName(0)] = 30
 	var victims []string
 	f.beforeSend = func(order residency.Order) {
 		if !order.Load {
@@ -184,32 +188,33 @@
 	}
 }
 
-// TestRuleDecidesWhetherModelsAreParked guards against parking where a load takes too long for those who wait.
+// TestRuleDecidesWhetherModelsAreParked guards against parking where a load takes too long for
+// waiting clients.
 func TestRuleDecidesWhetherModelsAreParked(t *testing.T) {
 	for _, c := range []struct {
 		loadTime time.Duration
 		parks    bool
 	}{{1200 * time.Millisecond, true}, {1350 * time.Millisecond, true}, {1351 * time.Millisecond, false}, {8600 * time.Millisecond, false}, {0, false}} {
-		f := contendedFleet()
+		f := contendedSimulation()
 		for i := range f.service.Engine.Models {
 			f.service.Engine.Models[i].LoadTime = c.loadTime
 		}
-		f.askContended()
+		f.requestContended()
 		f.run(10*time.Second, nil)
-		if parks := f.book.Parked() > 0; parks != c.parks {
-			t.Errorf("a load takes %v: %d models are parked", c.loadTime, f.book.Parked())
+		if parks := f.tracker.Parked() > 0; parks != c.parks {
+			t.Errorf("a load takes %v: %d models are parked", c.loadTime, f.tracker.Parked())
 		}
 	}
 }
 
-// TestOrdersAreTheSameWhereTheRuleIsNotMet guards against changes for deployments that do not qualify, whatever their
-// daemons tell of refused requests.
+// TestOrdersAreTheSameWhereTheRuleIsNotMet guards against different orders for deployments whose
+// models are not parkable, whatever refused requests their daemons report.
 func TestOrdersAreTheSameWhereTheRuleIsNotMet(t *testing.T) {
-	played := func(patience time.Duration, refused bool) []residency.Order {
-		f := contendedFleet()
-		f.service.Patience = patience
+	simulate := func(clientTimeout time.Duration, refused bool) []residency.Order {
+		f := contendedSimulation()
+		f.service.Patience = clientTimeout
 		f.run(time.Second, nil)
-		f.askContended()
+		f.requestContended()
 		f.run(10*time.Second, func() {
 			if !refused {
 				for name, demand := range f.demand {
@@ -220,13 +225,13 @@
 		})
 		return f.orders
 	}
-	want := played(0, false)
+	want := simulate(0, false)
 	if len(want) == 0 {
 		t.Fatal("no orders")
 	}
-	for _, patience := range []time.Duration{0, longestReturn - 1} {
-		if got := played(patience, true); !slices.Equal(got, want) {
-			t.Errorf("patience %v: orders differ", patience)
+	for _, clientTimeout := range []time.Duration{0, maxReturnTime - 1} {
+		if got := simulate(clientTimeout, true); !slices.Equal(got, want) {
+			t.Errorf("client timeout %v: orders differ", clientTimeout)
 		}
 	}
 }
--- a/residency/parklimits_test.go
+++ b/residency/parkinglimits_test.go
@@ -9,8 +9,9 @@
 	"github.com/wheatweir/wheatweir/residency"
 )
 
-// TestParkingKeepsEveryLimit guards against parking that overcommits memory, exceeds the weight store's rate or takes the
-// last replica of a model that was asked for within 3 s, while answers are lost and orders come late.
+// TestParkingKeepsEveryLimit guards against parking that overcommits memory, exceeds the rate limit
+// of the weight store or evicts the last replica of a model that was requested within 3 s, while
+// answers are lost and orders arrive late.
 func TestParkingKeepsEveryLimit(t *testing.T) {
 	parked := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -19,18 +20,18 @@
 			e.Models[i].LoadTime = time.Second
 		}
 		planned := &residency.Service{Name: service, Engine: e, Patience: 3 * time.Second}
-		book := residency.NewBook(residency.DefaultSettings())
-		servers := []*modelServer{
+		tracker := residency.NewBook(residency.DefaultSettings())
+		instances := []*fakeInstance{
 			{id: "s1", models: map[string][]string{"big": nil, "mid": nil}}, {id: "s2", models: map[string][]string{"other": nil, "small": nil}},
 			{id: "s3", models: map[string][]string{"tiny": nil, "other": nil}},
 		}
-		putAll(book, instances(servers))
+		putAll(tracker, fleetInstances(instances))
 		now := time.Unix(1000, 0)
 		var loads []time.Time
-		demand, asked := map[string]residency.Demand{}, map[string]time.Time{}
+		demand, requestedAt := map[string]residency.Demand{}, map[string]time.Time{}
 		for range rapid.IntRange(20, 150).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(20, 600).Draw(t, "pause")) * time.Millisecond)
-			stepServers(t, book, servers, now)
+			stepInstances(t, tracker, instances, now)
 			if rapid.IntRange(0, 7).Draw(t, "moves") == 0 {
 				model := rapid.SampledFrom([]string{"big", "mid", "small", "tiny", "other"}).Draw(t, "model")
 				rate := rapid.SampledFrom([]float64{0, 0, 0.5, 40}).Draw(t, "rate")
@@ -38,36 +39,36 @@
 			}
 			for model := range demand {
 				if demand[model].PerSecond > 0 {
-					asked[model] = now
+					requestedAt[model] = now
 				}
 			}
-			again := book.Resend(now)
-			for i, order := range append(again, book.Plan(now, planned, demand)...) {
-				// An order that is sent again was decided on before.
-				if i >= len(again) && takesLast(servers, order) {
+			again := tracker.Resend(now)
+			for i, order := range append(again, tracker.Plan(now, planned, demand)...) {
+				// A resent order was decided earlier.
+				if i >= len(again) && takesLast(instances, order) {
 					parked++
-					if at, known := asked[order.Model]; known && now.Sub(at) < 3*time.Second {
+					if at, known := requestedAt[order.Model]; known && now.Sub(at) < 3*time.Second {
 						t.Fatalf("%s loses its last replica %v after a request", order.Model, now.Sub(at))
 					}
 				}
-				book.Sending(now, order)
+				tracker.Sending(now, order)
 				if order.FromStore {
 					loads = append(loads, now)
 				}
-				book.Answered(now, order, deliver(t, find(servers, order.Instance), order))
-				find(servers, order.Instance).check(t, e)
+				tracker.Answered(now, order, deliver(t, find(instances, order.Instance), order))
+				find(instances, order.Instance).check(t, e)
 			}
 			checkRate(t, loads, e.LoadsPerSecond, now)
 		}
 	})
 	if parked == 0 {
-		t.Error("nothing was parked")
+		t.Error("no model was parked")
 	}
 }
 
-// stepServers lets servers end what they do, late orders arrive and reports come in.
-func stepServers(t *rapid.T, book *residency.Book, servers []*modelServer, now time.Time) {
-	for _, s := range servers {
+// stepInstances lets instances complete their orders, delivers late orders and takes reports.
+func stepInstances(t *rapid.T, tracker *residency.Book, instances []*fakeInstance, now time.Time) {
+	for _, s := range instances {
 		if rapid.IntRange(0, 2).Draw(t, "finish") == 0 {
 			s.finish()
 		}
@@ -76,18 +77,18 @@
 			s.late = s.late[1:]
 		}
 		if rapid.Bool().Draw(t, "report") {
-			book.Report(now, now, s.id, s.report())
+			tracker.Report(now, now, s.id, s.report())
 		}
 	}
 }
 
-// takesLast reports whether an order takes a model from the only server that holds it.
-func takesLast(servers []*modelServer, order residency.Order) bool {
+// takesLast reports whether an order unloads a model from the only instance that holds it.
+func takesLast(instances []*fakeInstance, order residency.Order) bool {
 	if order.Load || order.Adapter != "" {
 		return false
 	}
 	holders := 0
-	for _, s := range servers {
+	for _, s := range instances {
 		_, held := s.models[order.Model]
 		leaves := s.busy != nil && !s.busy.Load && s.busy.Model == order.Model
 		if held && !leaves {
@@ -97,48 +98,49 @@
 	return holders == 1
 }
 
-// TestStoreRateHoldsWhileModelsAreParked guards against more loads from the weight store than it allows, where they begin,
-// while demand moves between models that compete for places.
+// TestStoreRateHoldsWhileModelsAreParked guards against more loads starting from the weight store
+// than its rate limit allows, while demand moves between models that compete for memory.
 func TestStoreRateHoldsWhileModelsAreParked(t *testing.T) {
 	const slow = 200 * time.Millisecond
-	for name, troubles := range map[string]troubles{
-		"nothing goes wrong":        {slowest: slow},
-		"answers are lost":          {slowest: slow, answerLost: 0.4, late: 0.3},
-		"servers restart":           {slowest: slow, restarts: 0.3, cuts: 0.3},
-		"another sender takes over": {slowest: slow, takeovers: 0.1, answerLost: 0.2},
+	for name, faults := range map[string]faults{
+		"no faults":                 {maxDelay: slow},
+		"answers are lost":          {maxDelay: slow, answerLost: 0.4, late: 0.3},
+		"instances restart":         {maxDelay: slow, restarts: 0.3, partitions: 0.3},
+		"another daemon takes over": {maxDelay: slow, takeovers: 0.1, answerLost: 0.2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(4) {
-				w := newStoreWorld(seed, troubles)
+				w := newStoreSimulation(seed, faults)
 				w.compete(2)
-				w.run(storeSpan)
-				if count, since := w.most(false); count > w.allowed() {
-					t.Errorf("seed %d: %d loads began within %v from %v on, %d allowed", seed, count, storeWindow, since.Sub(time.Unix(1000, 0)), w.allowed())
+				w.run(storeRunTime)
+				if count, since := w.peak(false); count > w.allowed() {
+					t.Errorf("seed %d: %d loads started within %v from %v on, %d allowed", seed, count, storeWindow, since.Sub(time.Unix(1000, 0)), w.allowed())
 				}
-				if name == "nothing goes wrong" && w.parked == 0 {
-					t.Errorf("seed %d: nothing was parked", seed)
+				if name == "no faults" && w.parked == 0 {
+					t.Errorf("seed %d: no model was parked", seed)
 				}
 			}
 		})
 	}
 }
 
-// compete leaves room for so many models on each server, and lets requests ask for some of all in turn.
-func (w *storeWorld) compete(room int) {
+// compete gives each instance room for only a few models and changes the requested models
+// regularly.
+func (w *storeSimulation) compete(room int) {
 	w.engine.WeightsMB = float64(room)
 	for i := range w.engine.Models {
 		w.engine.Models[i].LoadTime = time.Second
 	}
-	w.patience = longestReturn
+	w.clientTimeout = maxReturnTime
 	w.moveDemand()
 }
 
-// moveDemand asks for other models, and again some time later.
-func (w *storeWorld) moveDemand() {
+// moveDemand requests other models, and again after an interval.
+func (w *storeSimulation) moveDemand() {
 	w.demand = map[string]residency.Demand{}
 	for range 20 {
 		model := w.engine.Models[w.random.IntN(len(w.engine.Models))].Name
 		w.demand[model] = residency.Demand{Concurrent: 20, PerSecond: 20, RefusedPerSecond: 10}
 	}
-	w.after(5*time.Second, w.moveDemand)
+	w.schedule(5*time.Second, w.moveDemand)
 }
--- a/residency/plan_bench_test.go
+++ b/residency/plan_bench_test.go
@@ -6,34 +6,35 @@
 	"time"
 )
 
-// BenchmarkPlan makes one plan for model servers under load.
+// BenchmarkPlan makes one plan for instances under load.
 func BenchmarkPlan(b *testing.B) {
-	for _, size := range []struct{ servers, models int }{{112, 155}, {980, 336}, {3920, 336}} {
-		b.Run(fmt.Sprintf("servers=%d/models=%d", size.servers, size.models), func(b *testing.B) {
-			f := newShiftedFleet(1, size.servers, size.models, 22, 12, 16, 330, 2, 8600*time.Millisecond, []float64{1, 14, 24})
+	for _, size := range []struct{ instances, models int }{{112, 155}, {980, 336}, {3920, 336}} {
+		b.Run(fmt.Sprintf("servers=%d/models=%d", size.instances, size.models), func(b *testing.B) {
+			f := newShiftSimulation(1, size.instances, size.models, 22, 12, 16, 330, 2, 8600*time.Millisecond, []float64{1, 14, 24})
 			for f.now.Before(f.start.Add(time.Second)) {
 				f.step()
 			}
 			demand := f.demand()
 			b.ReportAllocs()
 			for b.Loop() {
-				f.book.Plan(f.now, plannedFor(f.engine), demand)
+				f.tracker.Plan(f.now, serviceFor(f.engine), demand)
 			}
 		})
 	}
 }
 
-// BenchmarkPlanOfAContendedFleet makes one plan while models compete for too few places, with and without parking.
+// BenchmarkPlanOfAContendedFleet makes one plan while models compete for scarce memory, with and
+// without parking.
 func BenchmarkPlanOfAContendedFleet(b *testing.B) {
-	for _, patience := range []time.Duration{0, parkPatience} {
-		b.Run(fmt.Sprint("patience=", patience), func(b *testing.B) {
-			f := contendedFleet()
-			f.service.Patience = patience
-			f.askContended()
+	for _, clientTimeout := range []time.Duration{0, parkClientTimeout} {
+		b.Run(fmt.Sprint("patience=", clientTimeout), func(b *testing.B) {
+			f := contendedSimulation()
+			f.service.Patience = clientTimeout
+			f.requestContended()
 			f.run(6*time.Second, nil)
 			b.ReportAllocs()
 			for b.Loop() {
-				f.book.Plan(f.now, f.service, f.demand)
+				f.tracker.Plan(f.now, f.service, f.demand)
 			}
 		})
 	}
--- a/residency/residency_test.go
+++ b/residency/residency_test.go
@@ -10,23 +10,23 @@
 	"github.com/wheatweir/wheatweir/residency"
 )
 
-// TestOrdersKeepEveryLimit plans for servers whose answers get lost, whose orders
-// come late and whose reports lag. Memory and places are never overcommitted, the
-// weight store's rate is kept, and no model loses its last replica.
+// TestOrdersKeepEveryLimit plans for instances whose answers are lost, whose orders arrive late and
+// whose reports lag. Memory and adapter slots are never overcommitted, the rate limit of the weight
+// store is kept, and no model loses its last replica.
 func TestOrdersKeepEveryLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := engine()
-		book := residency.NewBook(residency.DefaultSettings())
-		servers := []*modelServer{
+		tracker := residency.NewBook(residency.DefaultSettings())
+		instances := []*fakeInstance{
 			{id: "s1", models: map[string][]string{"big": nil, "mid": nil}}, {id: "s2", models: map[string][]string{"big": nil, "small": nil}},
 			{id: "s3", models: map[string][]string{"tiny": nil, "other": nil}}, {id: "s4", models: map[string][]string{}},
 		}
-		putAll(book, instances(servers))
+		putAll(tracker, fleetInstances(instances))
 		now := time.Unix(1000, 0)
 		var loads []time.Time
 		for range rapid.IntRange(20, 150).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(20, 600).Draw(t, "pause")) * time.Millisecond)
-			for _, s := range servers {
+			for _, s := range instances {
 				if rapid.IntRange(0, 2).Draw(t, "finish") == 0 {
 					s.finish()
 				}
@@ -36,7 +36,7 @@
 					s.check(t, e)
 				}
 				if rapid.Bool().Draw(t, "report") {
-					book.Report(now, now, s.id, s.report())
+					tracker.Report(now, now, s.id, s.report())
 				}
 			}
 			demand := map[string]residency.Demand{}
@@ -46,28 +46,28 @@
 			if rapid.Bool().Draw(t, "wanted") {
 				demand["big"] = residency.Demand{Concurrent: 3, Waiting: 1, Adapters: map[string]int{"a6": 1}}
 			}
-			before := reachable(servers)
-			orders := append(book.Resend(now), book.Plan(now, plannedFor(e), demand)...)
+			before := reachable(instances)
+			orders := append(tracker.Resend(now), tracker.Plan(now, serviceFor(e), demand)...)
 			for _, order := range orders {
-				book.Sending(now, order)
+				tracker.Sending(now, order)
 				if order.FromStore {
 					loads = append(loads, now)
 				}
-				book.Answered(now, order, deliver(t, find(servers, order.Instance), order))
-				find(servers, order.Instance).check(t, e)
+				tracker.Answered(now, order, deliver(t, find(instances, order.Instance), order))
+				find(instances, order.Instance).check(t, e)
 			}
 			checkRate(t, loads, e.LoadsPerSecond, now)
 			for model := range before {
-				if !reachable(servers)[model] {
-					t.Fatalf("%s has no replica any more", model)
+				if !reachable(instances)[model] {
+					t.Fatalf("%s lost its last replica", model)
 				}
 			}
 		}
 	})
 }
 
-// deliver hands an order to a server, loses it, its answer, or makes it late.
-func deliver(t *rapid.T, s *modelServer, order residency.Order) residency.Answer {
+// deliver delivers an order to an instance, loses it or its answer, or delays it.
+func deliver(t *rapid.T, s *fakeInstance, order residency.Order) residency.Answer {
 	switch rapid.IntRange(0, 9).Draw(t, "fate") {
 	case 0:
 		return residency.AnswerNotSent
@@ -82,10 +82,10 @@
 	}
 }
 
-// reachable lists models that a server holds and is not letting go.
-func reachable(servers []*modelServer) map[string]bool {
+// reachable lists the models that an instance holds and does not unload.
+func reachable(instances []*fakeInstance) map[string]bool {
 	held := map[string]bool{}
-	for _, s := range servers {
+	for _, s := range instances {
 		for model := range s.models {
 			if s.busy == nil || s.busy.Load || s.busy.Model != model {
 				held[model] = true
@@ -104,12 +104,12 @@
 		}
 	}
 	if float64(count) > perSecond*window.Seconds() {
-		t.Fatalf("%d loads from the store within %v", count, window)
+		t.Fatalf("%d loads from the weight store within %v", count, window)
 	}
 }
 
 func TestEveryModelBecomesReachable(t *testing.T) {
-	c := newCalm(fourServers()...)
+	c := newPromptDeployment(fourInstances()...)
 	c.run(20*time.Second, nil)
 	for _, model := range c.engine.Models {
 		if c.replicas(model.Name) == 0 {
@@ -118,36 +118,36 @@
 	}
 }
 
-// TestModelOfASilentServerIsLoadedElsewhere covers a server that answers nothing any
-// more while the list of servers still has it, as in an outage of the store: the
-// models that only it held become reachable again. A short silence moves nothing.
+// TestModelOfASilentServerIsLoadedElsewhere covers an instance that stops answering while the
+// instance list still has it, as in an outage of the store. The models that only it held become
+// reachable again. A short interruption causes no loads.
 func TestModelOfASilentServerIsLoadedElsewhere(t *testing.T) {
 	for _, c := range []struct {
 		silence time.Duration
 		moves   bool
 	}{{time.Second, false}, {6 * time.Second, true}} {
-		deployment := newCalm(fourServers()...)
+		deployment := newPromptDeployment(fourInstances()...)
 		deployment.run(20*time.Second, nil)
 		model, before := deployment.rarest()
-		if before == 0 || before > len(deployment.servers)/2 {
-			t.Fatalf("%s has %d replicas on %d servers", model, before, len(deployment.servers))
+		if before == 0 || before > len(deployment.instances)/2 {
+			t.Fatalf("%s has %d replicas on %d instances", model, before, len(deployment.instances))
 		}
-		for _, s := range deployment.servers {
+		for _, s := range deployment.instances {
 			_, holds := s.models[model]
-			s.silent = holds
+			s.unresponsive = holds
 		}
 		deployment.run(c.silence, nil)
 		if moved := deployment.replicas(model) > before; moved != c.moves {
-			t.Errorf("silent for %v: loaded elsewhere %v", c.silence, moved)
+			t.Errorf("unresponsive for %v: loaded elsewhere %v", c.silence, moved)
 		}
 	}
 }
 
 func TestEveryAdapterFindsAPlace(t *testing.T) {
-	c := newCalm(fourServers()...)
+	c := newPromptDeployment(fourInstances()...)
 	c.run(20*time.Second, nil)
 	held := map[string]bool{}
-	for _, s := range c.servers {
+	for _, s := range c.instances {
 		for model, adapters := range s.models {
 			for _, adapter := range adapters {
 				held[model+"/"+adapter] = true
@@ -160,7 +160,7 @@
 }
 
 func TestDemandMovesReplicas(t *testing.T) {
-	c := newCalm(fourServers()...)
+	c := newPromptDeployment(fourInstances()...)
 	c.run(20*time.Second, nil)
 	c.run(20*time.Second, map[string]residency.Demand{"other": {Concurrent: 60}})
 	if got := c.replicas("other"); got < 2 {
@@ -169,12 +169,12 @@
 	settled := len(c.orders)
 	c.run(20*time.Second, map[string]residency.Demand{"other": {Concurrent: 60}})
 	if more := len(c.orders) - settled; more > 2 {
-		t.Fatalf("%d orders under demand that does not change: %v", more, c.orders[settled:])
+		t.Fatalf("%d orders under constant demand: %v", more, c.orders[settled:])
 	}
 }
 
 func TestOneRequestMovesNothing(t *testing.T) {
-	c := newCalm(fourServers()...)
+	c := newPromptDeployment(fourInstances()...)
 	c.run(30*time.Second, nil)
 	settled := len(c.orders)
 	c.run(10*time.Second, map[string]residency.Demand{"tiny": {Concurrent: 0.9}})
@@ -183,10 +183,10 @@
 	}
 }
 
-// TestRoomIsKeptForItsModel covers memory that was freed for one model and was
-// filled with the victim again before that model could be loaded.
+// TestRoomIsKeptForItsModel guards against memory that was freed for one model and filled with the
+// evicted one again before that model could be loaded.
 func TestRoomIsKeptForItsModel(t *testing.T) {
-	c := newCalm(fourServers()...)
+	c := newPromptDeployment(fourInstances()...)
 	c.run(20*time.Second, nil)
 	c.run(10*time.Second, map[string]residency.Demand{"other": {Concurrent: 80}})
 	for i, order := range c.orders {
@@ -196,7 +196,7 @@
 		for _, next := range c.orders[i+1:] {
 			if next.Instance == order.Instance && next.Load && next.Adapter == "" {
 				if next.Model != order.RoomFor {
-					t.Fatalf("room for %s on %s was filled with %s", order.RoomFor, order.Instance, next.Model)
+					t.Fatalf("memory reserved for %s on %s was used for %s", order.RoomFor, order.Instance, next.Model)
 				}
 				break
 			}
@@ -204,49 +204,49 @@
 	}
 }
 
-// TestLateOrderIsMadeHarmless covers an order that is not answered and is carried
-// out seconds later: it is settled by sending it again under the same sequence.
+// TestLateOrderIsMadeHarmless covers an order without an answer that is executed seconds later. A
+// resend with the same sequence number resolves it.
 func TestLateOrderIsMadeHarmless(t *testing.T) {
-	server := &modelServer{id: "s0", models: map[string][]string{"big": nil}}
-	c := newCalm(server)
-	c.book.Report(c.now, c.now, "s0", server.report())
-	orders := c.book.Plan(c.now, plannedFor(c.engine), nil)
+	instance := &fakeInstance{id: "s0", models: map[string][]string{"big": nil}}
+	c := newPromptDeployment(instance)
+	c.tracker.Report(c.now, c.now, "s0", instance.report())
+	orders := c.tracker.Plan(c.now, serviceFor(c.engine), nil)
 	if len(orders) != 1 {
 		t.Fatalf("orders %v", orders)
 	}
-	c.book.Sending(c.now, orders[0])
-	c.book.Answered(c.now, orders[0], residency.AnswerUnknown)
-	if planned := c.book.Plan(c.now, plannedFor(c.engine), nil); len(planned) != 0 {
-		t.Fatalf("orders %v before the first one is settled", planned)
+	c.tracker.Sending(c.now, orders[0])
+	c.tracker.Answered(c.now, orders[0], residency.AnswerUnknown)
+	if planned := c.tracker.Plan(c.now, serviceFor(c.engine), nil); len(planned) != 0 {
+		t.Fatalf("orders %v before the outcome of the first one is known", planned)
 	}
-	again := c.book.Resend(c.now.Add(time.Second))
+	again := c.tracker.Resend(c.now.Add(time.Second))
 	if len(again) != 1 || again[0].Expected != orders[0].Expected || again[0].Model != orders[0].Model {
 		t.Fatalf("sent again: %v", again)
 	}
-	if server.accept(again[0]) != residency.AnswerTaken || server.accept(orders[0]) != residency.AnswerBusy {
-		t.Fatal("the late order was taken as well")
+	if instance.accept(again[0]) != residency.AnswerTaken || instance.accept(orders[0]) != residency.AnswerBusy {
+		t.Fatal("the late order was accepted as well")
 	}
 }
 
-// TestModelOfALimitedServerIsLoadedElsewhere has the servers of a model take a few requests only. A model that
-// is asked for gets a replica elsewhere; one that nobody asks for is served well enough, and no load is spent on
-// it. The limited servers themselves get no further model.
+// TestModelOfALimitedServerIsLoadedElsewhere limits the instances that hold a model to a few
+// requests. A requested model gets a replica elsewhere. A model without requests is served well
+// enough, and no load is spent on it. The limited instances get no further model.
 func TestModelOfALimitedServerIsLoadedElsewhere(t *testing.T) {
 	for _, c := range []struct {
-		limited, asked, moves bool
+		limited, requested, moves bool
 	}{{true, true, true}, {true, false, false}, {false, true, false}} {
-		deployment := newCalm(fourServers()...)
+		deployment := newPromptDeployment(fourInstances()...)
 		deployment.run(20*time.Second, nil)
 		model, before := deployment.rarest()
 		held := map[string]int{}
-		for _, s := range deployment.servers {
+		for _, s := range deployment.instances {
 			if _, holds := s.models[model]; holds && c.limited {
-				deployment.book.SetLimited(s.id, true)
+				deployment.tracker.SetLimited(s.id, true)
 				held[s.id] = len(s.models)
 			}
 		}
 		demand := map[string]residency.Demand{}
-		if c.asked {
+		if c.requested {
 			demand[model] = residency.Demand{Concurrent: 1, PerSecond: 1}
 		}
 		deployment.run(20*time.Second, demand)
@@ -254,8 +254,8 @@
 			t.Errorf("%+v: loaded elsewhere %t", c, moved)
 		}
 		for id, count := range held {
-			if now := len(find(deployment.servers, id).models); now > count {
-				t.Errorf("%+v: the limited server %s was given another model", c, id)
+			if now := len(find(deployment.instances, id).models); now > count {
+				t.Errorf("%+v: the limited instance %s got another model", c, id)
 			}
 		}
 	}
--- a/residency/software_test.go
+++ b/residency/software_test.go
@@ -8,8 +8,9 @@
 	"github.com/wheatweir/wheatweir/residency"
 )
 
-// TestStreamsGetTheirModelAtTheirSoftware guards against streams that wait in vain for an instance of the software version
-// that began them, as all replicas of their model are on others.
+// TestStreamsGetTheirModelAtTheirSoftware guards against streams that wait indefinitely for an
+// instance of the software version that began them, because all replicas of their model are on
+// instances of other versions.
 func TestStreamsGetTheirModelAtTheirSoftware(t *testing.T) {
 	hot := residency.Demand{Concurrent: 50, PerSecond: 30}
 	cases := []struct {
@@ -17,34 +18,34 @@
 		waiting map[string]int
 		v1, v2  bool
 	}{
-		{"nobody waits", nil, true, false},
+		{"no stream waits", nil, true, false},
 		{"streams of the other version wait", map[string]int{"v2": 2}, true, true},
 		{"streams of its version wait", map[string]int{"v1": 2}, true, false},
-		{"streams of a version that no server runs wait", map[string]int{"v3": 2}, true, false},
+		{"streams of a version that no instance runs wait", map[string]int{"v3": 2}, true, false},
 	}
 	for _, c := range cases {
-		world := newCalm(
-			&modelServer{id: "s0", software: "v1", models: map[string][]string{"hot": nil, "rare": nil}},
-			&modelServer{id: "s1", software: "v1", models: map[string][]string{}},
-			&modelServer{id: "s2", software: "v2", models: map[string][]string{"hot": nil, "idle": nil}},
-			&modelServer{id: "s3", software: "v2", models: map[string][]string{"hot": nil, "idle": nil}},
+		deployment := newPromptDeployment(
+			&fakeInstance{id: "s0", software: "v1", models: map[string][]string{"hot": nil, "rare": nil}},
+			&fakeInstance{id: "s1", software: "v1", models: map[string][]string{}},
+			&fakeInstance{id: "s2", software: "v2", models: map[string][]string{"hot": nil, "idle": nil}},
+			&fakeInstance{id: "s3", software: "v2", models: map[string][]string{"hot": nil, "idle": nil}},
 		)
-		world.engine = &fleet.Engine{
+		deployment.engine = &fleet.Engine{
 			Slots: 32, WeightsMB: 200, AdapterSlots: 4, LoadsPerSecond: 1,
 			Models: []fleet.Model{{Name: "idle", WeightsMB: 100}, {Name: "rare", WeightsMB: 100}, {Name: "hot", WeightsMB: 100}},
 		}
 		rare := residency.Demand{Concurrent: 0.1, PerSecond: 0.1, Software: c.waiting}
-		world.run(5*time.Second, map[string]residency.Demand{"hot": hot, "rare": rare})
+		deployment.run(5*time.Second, map[string]residency.Demand{"hot": hot, "rare": rare})
 		at := map[string]bool{}
-		for _, server := range world.servers {
-			if _, holds := server.models["rare"]; holds {
-				at[server.software] = true
+		for _, instance := range deployment.instances {
+			if _, holds := instance.models["rare"]; holds {
+				at[instance.software] = true
 			}
 		}
 		if at["v1"] != c.v1 || at["v2"] != c.v2 {
 			t.Errorf("%s: on v1 %v, on v2 %v", c.name, at["v1"], at["v2"])
 		}
-		if world.replicas("hot") == 0 || world.replicas("idle") == 0 {
+		if deployment.replicas("hot") == 0 || deployment.replicas("idle") == 0 {
 			t.Errorf("%s: another model lost its last replica", c.name)
 		}
 	}
