--- a/residency/adapters_test.go
+++ b/residency/adapters_test.go
@@ -10,13 +10,13 @@
 
 // twoInstanceDeployment has two instances that hold the same two models, with the given number of
 // adapter slots.
-func twoInstanceDeployment(adapters, places int) *promptDeployment {
+func twoInstanceDeployment(adapters, slots int) *promptDeployment {
 	c := newPromptDeployment(
 		&fakeInstance{id: "s0", models: map[string][]string{"m": nil, "other": nil}},
 		&fakeInstance{id: "s1", models: map[string][]string{"m": nil, "other": nil}},
 	)
 	c.engine = &fleet.Engine{
-		Slots: 32, WeightsMB: 300, AdapterSlots: places, LoadsPerSecond: 1,
+		Slots: 32, WeightsMB: 300, AdapterSlots: slots, LoadsPerSecond: 1,
 		Models: []fleet.Model{{Name: "m", WeightsMB: 100, Adapters: adapters, AdapterMB: 1}, {Name: "other", WeightsMB: 100, Adapters: 1, AdapterMB: 1}},
 	}
 	return c
@@ -37,7 +37,7 @@
 	requested := map[string]residency.Demand{"m": {Concurrent: 4, PerSecond: 2}}
 	cases := []struct {
 		name             string
-		adapters, places int
+		adapters, slots int
 		demand           map[string]residency.Demand
 		twice            bool
 	}{
@@ -47,7 +47,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			deployment := twoInstanceDeployment(c.adapters, c.places)
+			deployment := twoInstanceDeployment(c.adapters, c.slots)
 			deployment.run(5*time.Second, c.demand)
 			counts := deployment.adapterReplicas("m")
 			if len(counts) != c.adapters || deployment.adapterReplicas("other")["a1"] == 0 {
@@ -61,7 +61,7 @@
 				t.Errorf("adapter replicas %v", counts)
 			}
 			for _, s := range deployment.instances {
-				if held := len(s.models["m"]) + len(s.models["other"]); held > c.places {
+				if held := len(s.models["m"]) + len(s.models["other"]); held > c.slots {
 					t.Errorf("%s holds %d adapters", s.id, held)
 				}
 			}
--- a/residency/parking_test.go
+++ b/residency/parking_test.go
@@ -86,18 +86,18 @@
 	}
 	f.requestContended()
 	idle := modelName(busyModels + 5)
-	began := f.now
+	start := f.now
 	f.run(4*time.Second, func() {
-		if f.now.Sub(began) < 3*time.Second && f.ready(modelName(busyModels+10)) == 0 {
-			t.Fatalf("parked after %v", f.now.Sub(began))
+		if f.now.Sub(start) < 3*time.Second && f.ready(modelName(busyModels+10)) == 0 {
+			t.Fatalf("parked after %v", f.now.Sub(start))
 		}
-		if f.now.Sub(began) < 2*time.Second {
+		if f.now.Sub(start) < 2*time.Second {
 			f.requestRate[idle] = 1
 		} else {
 			delete(f.requestRate, idle)
 		}
 		if f.ready(idle) == 0 {
-			t.Fatalf("%s parked %v after the last request", idle, f.now.Sub(began)-2*time.Second)
+			t.Fatalf("%s parked %v after the last request", idle, f.now.Sub(start)-2*time.Second)
 		}
 	})
 }
--- a/residency/parkingdemand_test.go
+++ b/residency/parkingdemand_test.go
@@ -27,7 +27,7 @@
 			delete(t.since, name)
 			continue
 		}
-		if _, known := t.since[name]; !known {
+		if _, found := t.since[name]; !found {
 			t.since[name] = f.now
 			t.outages++
 		}
--- a/residency/parkinglimits_test.go
+++ b/residency/parkinglimits_test.go
@@ -47,7 +47,7 @@
 				// A resent order was decided earlier.
 				if i >= len(again) && takesLast(instances, order) {
 					parked++
-					if at, known := requestedAt[order.Model]; known && now.Sub(at) < 3*time.Second {
+					if at, found := requestedAt[order.Model]; found && now.Sub(at) < 3*time.Second {
 						t.Fatalf("%s loses its last replica %v after a request", order.Model, now.Sub(at))
 					}
 				}
--- a/residency/parkingsimulation_test.go
+++ b/residency/parkingsimulation_test.go
@@ -214,7 +214,7 @@
 	}
 }
 
-// takeOver replaces the lease holder by one that does not know of its orders and begins to plan
+// takeOver replaces the lease holder by one without a record of its orders and begins to plan
 // after a gap.
 func (f *parkingSimulation) takeOver(gap time.Duration) {
 	f.tracker = residency.NewBook(residency.DefaultSettings())
@@ -241,11 +241,11 @@
 // timeToServe requests a model from now on and returns how long it takes until it is served.
 func (f *parkingSimulation) timeToServe(model string, timeout time.Duration) (time.Duration, bool) {
 	f.requestRate[model] = 1
-	began, elapsed := f.now, time.Duration(-1)
-	for elapsed < 0 && f.now.Sub(began) < timeout {
+	start, elapsed := f.now, time.Duration(-1)
+	for elapsed < 0 && f.now.Sub(start) < timeout {
 		f.run(parkStep, nil)
 		if f.serves(model) {
-			elapsed = f.now.Sub(began)
+			elapsed = f.now.Sub(start)
 		}
 	}
 	return elapsed, elapsed >= 0
--- a/residency/scaleup_test.go
+++ b/residency/scaleup_test.go
@@ -79,12 +79,12 @@
 	for _, s := range deployment.instances {
 		deployment.tracker.Report(deployment.now, deployment.now, s.id, s.report())
 	}
-	room := deployment.tracker.Plan(deployment.now, serviceFor(deployment.engine), nil)
-	if len(room) != 1 || room[0].RoomFor != "lost" {
-		t.Fatalf("orders %+v", room)
+	evictions := deployment.tracker.Plan(deployment.now, serviceFor(deployment.engine), nil)
+	if len(evictions) != 1 || evictions[0].RoomFor != "lost" {
+		t.Fatalf("orders %+v", evictions)
 	}
-	deployment.tracker.Sending(deployment.now, room[0])
-	deployment.tracker.Answered(deployment.now, room[0], residency.AnswerTaken)
+	deployment.tracker.Sending(deployment.now, evictions[0])
+	deployment.tracker.Answered(deployment.now, evictions[0], residency.AnswerTaken)
 	putAll(deployment.tracker, fleetInstances(append(deployment.instances, empty))[2:])
 	deployment.tracker.Report(deployment.now, deployment.now, empty.id, empty.report())
 	for _, order := range deployment.tracker.Plan(deployment.now, serviceFor(deployment.engine), map[string]residency.Demand{"hot": {Concurrent: 50, PerSecond: 30}}) {
@@ -103,13 +103,13 @@
 		deployment.tracker.Report(deployment.now, deployment.now, s.id, s.report())
 	}
 	demand := map[string]residency.Demand{"lost": {Waiting: 5}}
-	room := deployment.tracker.Plan(deployment.now, serviceFor(deployment.engine), demand)
-	if len(room) != 1 || room[0].RoomFor != "lost" {
-		t.Fatalf("orders %+v", room)
+	evictions := deployment.tracker.Plan(deployment.now, serviceFor(deployment.engine), demand)
+	if len(evictions) != 1 || evictions[0].RoomFor != "lost" {
+		t.Fatalf("orders %+v", evictions)
 	}
-	deployment.tracker.Sending(deployment.now, room[0])
-	deployment.tracker.Answered(deployment.now, room[0], residency.AnswerTaken)
-	find(deployment.instances, room[0].Instance).unresponsive = true
+	deployment.tracker.Sending(deployment.now, evictions[0])
+	deployment.tracker.Answered(deployment.now, evictions[0], residency.AnswerTaken)
+	find(deployment.instances, evictions[0].Instance).unresponsive = true
 	empty := &fakeInstance{id: "s2", models: map[string][]string{}}
 	deployment.instances = append(deployment.instances, empty)
 	putAll(deployment.tracker, fleetInstances(deployment.instances))
--- a/residency/shiftsimulation_test.go
+++ b/residency/shiftsimulation_test.go
@@ -151,26 +151,26 @@
 // weight is the share of the flow that a model has after the demand has moved by some positions.
 // The first model takes a quarter, the others take ever less.
 func (f *shiftSimulation) weight(model int, moved float64) float64 {
-	rank := func(place int) float64 {
-		if place < 0 || place >= f.busyCount {
+	rank := func(position int) float64 {
+		if position < 0 || position >= f.busyCount {
 			return 0
 		}
 		total := 0.0
 		for i := range f.busyCount {
 			total += zipf(i)
 		}
-		return zipf(place) / total
+		return zipf(position) / total
 	}
 	whole := math.Floor(moved)
 	part := moved - whole
 	return (1-part)*rank(model-int(whole)) + part*rank(model-int(whole)-1)
 }
 
-func zipf(place int) float64 {
-	if place == 0 {
+func zipf(position int) float64 {
+	if position == 0 {
 		return 2.7
 	}
-	return 1 / math.Pow(float64(place), 0.42)
+	return 1 / math.Pow(float64(position), 0.42)
 }
 
 // share is the share of the flow that a model has now. A shift takes from the old positions and
--- a/residency/storesimulation_test.go
+++ b/residency/storesimulation_test.go
@@ -327,7 +327,7 @@
 	}
 }
 
-// takeOver replaces the lease holder by one that does not know of its orders.
+// takeOver replaces the lease holder by one without a record of its orders.
 func (w *storeSimulation) takeOver(gap time.Duration) {
 	for sent := range w.unanswered {
 		if !sent.started {
--- a/residency/unparking_test.go
+++ b/residency/unparking_test.go
@@ -84,10 +84,10 @@
 				bound += residency.DefaultSettings().Window
 			}
 			lost := time.Duration(-1)
-			began := f.now
+			start := f.now
 			f.beforeSend = func(order residency.Order) {
 				if order.RoomFor == model && lost < 0 {
-					lost = f.now.Sub(began)
+					lost = f.now.Sub(start)
 					f.takeOver(gap)
 				}
 			}
