--- a/residency/adapters_test.go
+++ b/residency/adapters_test.go
@@ -36,10 +36,10 @@
 func TestAdaptersOfModelsThatAreAskedForHaveTwoHomes(t *testing.T) {
 	requested := map[string]residency.Demand{"m": {Concurrent: 4, PerSecond: 2}}
 	cases := []struct {
-		name             string
+		name            string
 		adapters, slots int
-		demand           map[string]residency.Demand
-		twice            bool
+		demand          map[string]residency.Demand
+		twice           bool
 	}{
 		{"requested", 3, 6, requested, true},
 		{"not requested", 3, 6, nil, false},
--- a/residency/storeloads.go
+++ b/residency/storeloads.go
@@ -13,7 +13,7 @@
 	// each expected sequence number, so a resend does not start a second load.
 	instance, model string
 	expected        uint64
-	// answerPending is set while an answer is pending. The load may start at any time.
+	// answerPending is set while no answer was received. The load may start at any time.
 	answerPending bool
 	// latestStart is the latest time at which the load can start or have started. A refused order
 	// counts from when it was sent, because the limit applies to orders as well.
--- a/residency/tracker.go
+++ b/residency/tracker.go
@@ -206,7 +206,7 @@
 }
 
 // Resend returns the orders with an unknown outcome that are due to be sent again unchanged. It
-// skips unresponsive and crashed instances.
+// skips instances in backoff, and unresponsive and crashed ones.
 func (b *Book) Resend(now time.Time) []Order {
 	var orders []Order
 	for _, state := range b.instances {
