--- a/gateway/learning.go
+++ b/gateway/answertiming.go
@@ -2,10 +2,10 @@
 
 import "github.com/wheatweir/wheatweir/balance"
 
-// answering notes a piece of an answer, and learns from the first one.
+// answering records a piece of an answer. The first piece gives the tracker the time to the first token.
 func (e *exchange) answering(candidate *balance.Candidate) {
 	id := candidate.Instance.ID
-	e.started(id)
+	e.recordAnswerStart(id)
 	e.gateway.tracker.Heard(id)
 	if !e.startedAt.IsZero() || e.request.Model == "" {
 		return
@@ -14,19 +14,19 @@
 	e.gateway.tracker.First(candidate, e.request.PromptTokens, e.startedAt.Sub(e.sentAt))
 }
 
-// answered learns from a whole answer.
+// answered records the run time of a whole answer in the tracker.
 func (e *exchange) answered(candidate *balance.Candidate) {
 	if e.startedAt.IsZero() {
 		return
 	}
 	ran := e.since(e.startedAt)
 	e.gateway.tracker.Run(candidate, ran)
-	if !e.resumed() {
+	if !e.mayBePartialRun() {
 		e.gateway.tracker.Generated(candidate, e.request.OutputTokens, ran)
 	}
 }
 
-// resumed reports whether the last attempt may have run only a part of the answer.
-func (e *exchange) resumed() bool {
+// mayBePartialRun reports whether the last attempt may have generated only a part of the answer.
+func (e *exchange) mayBePartialRun() bool {
 	return e.request.ResumeAfter != "" || len(e.sentTo) > 1
 }
--- a/gateway/assess.go
+++ b/gateway/assess.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// crowdedShare is the part of an instance's memory that prompts still to be
-	// read may take before further ones wait here.
-	crowdedShare = 1.0 / 40
-	// crowdedWait is the part of the target latency that a request may wait so.
-	crowdedWait = 0.3
+	// crowdedMemoryShare is the share of an instance's memory that unread prompts may
+	// take before further requests wait at this daemon.
+	crowdedMemoryShare = 1.0 / 40
+	// maxCrowdedWaitShare is the share of the target latency up to which a request waits for this reason.
+	maxCrowdedWaitShare = 0.3
 )
 
-// assess decides whether a request may be sent to the best instance, as far as that one's load goes.
+// assess decides from the load of the best instance whether the request may be sent there.
 func (e *exchange) assess(candidate *balance.Candidate) found {
 	switch {
-	case e.hopeless(candidate):
+	case e.startsTooLate(candidate):
 		return foundHopeless
 	case e.background.applies:
 		return e.yield(candidate)
@@ -28,35 +28,34 @@
 	}
 }
 
-// promptLimit is how many prompt tokens an instance may have to read before this request
-// should wait a little: zero, for no limit, once it has waited enough. Less urgent
-// requests wait sooner.
+// promptLimit returns the number of unread prompt tokens at an instance above which this request waits. It is zero,
+// for no limit, once the request has waited enough. Less urgent requests have a lower limit.
 func (e *exchange) promptLimit(view *fleet.View) int {
 	if e.hasWaitedEnough() {
 		return 0
 	}
-	return int(crowdedShare * float64(memoryTokens(view, e.service)) / float64(1+e.priority))
+	return int(crowdedMemoryShare * float64(memoryTokens(view, e.service)) / float64(1+e.priority))
 }
 
-// hasWaitedEnough reports whether the request no longer waits while instances have much to do.
+// hasWaitedEnough reports whether the request no longer waits for crowded instances.
 func (e *exchange) hasWaitedEnough() bool {
 	if e.background.applies {
 		return e.background.over
 	}
-	return e.waited() > crowdedWait
+	return e.waitedShare() > maxCrowdedWaitShare
 }
 
-// waited is the part of the target latency that has passed.
-func (e *exchange) waited() float64 {
+// waitedShare returns the time since arrival as a share of the target latency.
+func (e *exchange) waitedShare() float64 {
 	if e.route.TargetLatency <= 0 {
 		return 1
 	}
 	return e.since(e.request.Arrived).Seconds() / e.route.TargetLatency.Seconds()
 }
 
-// hopeless reports whether even the best instance will begin to answer too late: the request
-// would take up a place there, make those behind it late as well, and the client would leave.
-func (e *exchange) hopeless(candidate *balance.Candidate) bool {
+// startsTooLate reports whether even the best instance is predicted to begin its answer too late. Such a request would
+// occupy a place there and delay those behind it, and its client would disconnect anyway.
+func (e *exchange) startsTooLate(candidate *balance.Candidate) bool {
 	if e.request.Model == "" || e.route.TargetLatency <= 0 || e.continues() || !mechanism.Enabled(mechanism.Forecast) {
 		return false
 	}
@@ -64,20 +63,21 @@
 	return beginsTooLate(e.route.TargetLatency, e.since(e.request.Arrived), e.forecast)
 }
 
-// continues reports whether the request was sent before, or goes on with an answer that has begun.
+// continues reports whether the request was sent before, or resumes an answer that has begun.
 func (e *exchange) continues() bool {
 	return e.begun || len(e.sentTo) > 0 || e.resumeAfter != ""
 }
 
-// shouldHold reports whether a less urgent request should wait here while the batch of its
-// instance is full: there it would stand in the way of more urgent ones.
+// shouldHold reports whether a less urgent request should wait at this daemon because the batch of its instance is
+// full: in the queue of the instance it would delay more urgent requests.
 func (e *exchange) shouldHold(candidate *balance.Candidate) bool {
-	if e.request.Model == "" || e.priority == 0 || e.waited() > crowdedWait || !mechanism.Enabled(mechanism.Hold) {
+	if e.request.Model == "" || e.priority == 0 || e.waitedShare() > maxCrowdedWaitShare || !mechanism.Enabled(mechanism.Hold) {
 		return false
 	}
 	return candidate.Load.Requests >= candidate.Instance.Slots
 }
 
+// memoryTokens returns the memory of an instance of a service in tokens; zero if it is not known.
 func memoryTokens(view *fleet.View, name string) int {
 	service := view.Service(name)
 	if service == nil || service.Engine == nil {
--- a/gateway/candidate.go
+++ b/gateway/candidate.go
@@ -12,13 +12,14 @@
 	"github.com/wheatweir/wheatweir/fleet"
 )
 
-// candidate chooses an instance. It waits for one as long as that makes sense.
+// candidate chooses an instance, and waits for one while one may become available in time. It returns nil and the
+// reason if there is none.
 func (e *exchange) candidate(ctx context.Context) (*balance.Candidate, Reason) {
 	if e.waitUntil.IsZero() {
-		left := e.until(e.firstBy)
+		left := e.until(e.firstEventDeadline)
 		e.waitUntil = e.gateway.Now().Add(time.Duration(float64(left) * e.gateway.settings.WaitShare))
 	}
-	wait := &candidateWait{exchange: e, paced: crowdedPause}
+	wait := &candidateWait{exchange: e, nextDelay: minCrowdedDelay}
 	defer wait.end()
 	e.background.applies = e.mayYield(e.gateway.view.Load())
 	for {
@@ -40,30 +41,30 @@
 		case foundTooLate:
 			return nil, ReasonNeverSent
 		case foundCrowded:
-			wait.pace(ctx)
+			wait.delayWhileCrowded(ctx)
 		case foundYields:
 			wait.yield(ctx)
 		case foundFull:
-			if !wait.forRoom(ctx) {
+			if !wait.awaitCapacity(ctx) {
 				return nil, ReasonOverloaded
 			}
 		case foundAtLimit:
-			if !wait.forUnreached(ctx, changed) {
+			if !wait.awaitUnreached(ctx, changed) {
 				return nil, ReasonAtLimit
 			}
 		case foundNoConnection:
-			if !wait.forConnection(ctx) {
+			if !wait.awaitConnection(ctx) {
 				return nil, ReasonNoConnection
 			}
 		case foundNone:
 			if e.lacksSoftware(view) {
 				return nil, ReasonNoSoftware
 			}
-			if wait.forUnreached(ctx, changed) {
+			if wait.awaitUnreached(ctx, changed) {
 				continue
 			}
 			if until := e.restsUntil(view); !until.IsZero() {
-				if !wait.forRest(ctx, until) {
+				if !wait.awaitBackoffEnd(ctx, until) {
 					return nil, ReasonResting
 				}
 				continue
@@ -71,14 +72,14 @@
 			if e.evacuated(view) {
 				return nil, ReasonEvacuated
 			}
-			if reason, again := wait.forChange(ctx, view, changed); !again {
+			if reason, again := wait.awaitChange(ctx, view, changed); !again {
 				return nil, reason
 			}
 		}
 	}
 }
 
-// found is what a look for an instance comes to.
+// found is the result of one search for an instance.
 type found uint8
 
 const (
@@ -86,30 +87,29 @@
 	foundReady found = iota
 	// foundNone means that no instance may take it.
 	foundNone
-	// foundCrowded means that all instances have much to do.
+	// foundCrowded means that even the best instance is crowded: it has many prompt tokens to read, or a full batch.
 	foundCrowded
 	// foundYields means that the request waits for more urgent ones.
 	foundYields
-	// foundHopeless means that even the best instance would begin to answer too late.
+	// foundHopeless means that even the best instance is predicted to begin its answer too late.
 	foundHopeless
-	// foundNoConnection means that all connections of this daemon to the instances that are
-	// best for it are in use.
+	// foundNoConnection means that all of this daemon's connections to the best instances
+	// for the request are in use.
 	foundNoConnection
-	// foundAtLimit means that only instances are left that have no turn for it soon.
+	// foundAtLimit means that the remaining instances are at their announced limit and have no turn soon.
 	foundAtLimit
-	// foundFull means that instances which fall over if they turn requests away have no room.
+	// foundFull means that the instances which crash when they have to reject requests (brittle ones) have no room.
 	foundFull
-	// foundTooLate means that the request's time is over, or its client has left, before it
-	// could be sent.
+	// foundTooLate means that the request's deadline passed or its client disconnected
+	// before it could be sent.
 	foundTooLate
 )
 
-// find looks for an instance. Of a request that waits for a connection it is known that it
-// probably finds none, so connections are looked at first: the choice may be a message to
-// another daemon, which then counts on the request.
-func (e *exchange) find(ctx context.Context, view *fleet.View, waits bool) (*balance.Candidate, found) {
+// find searches for an instance. A request that awaits a connection probably finds none again, so connections are
+// checked first: the choice may be a message to another daemon, which then expects the request to be sent.
+func (e *exchange) find(ctx context.Context, view *fleet.View, awaitsConnection bool) (*balance.Candidate, found) {
 	var saturated []string
-	if waits {
+	if awaitsConnection {
 		var free bool
 		if saturated, free = e.saturated(view); len(saturated) > 0 && !free {
 			return nil, foundNoConnection
@@ -132,17 +132,17 @@
 			return nil, foundNone
 		}
 		if assessed := e.assess(candidate); assessed != foundReady {
-			return nil, unlessSaturated(saturated, assessed)
+			return nil, secondChoiceResult(saturated, assessed)
 		}
 		switch {
 		case !e.hasRoom(candidate):
-			if full = append(full, candidate.Instance.ID); len(full) == mostFull {
+			if full = append(full, candidate.Instance.ID); len(full) == maxFullInstances {
 				return nil, foundFull
 			}
 			continue
 		case e.hasConnection(candidate.Instance):
 			if !e.takeSlot(ctx, candidate) {
-				if full = append(full, candidate.Instance.ID); len(full) == mostFull {
+				if full = append(full, candidate.Instance.ID); len(full) == maxFullInstances {
 					return nil, foundFull
 				}
 				continue
@@ -160,17 +160,17 @@
 	}
 }
 
-// unlessSaturated says what the second choice comes to: nothing that the first one, which lacks
-// a connection only, would have to be given up for.
-func unlessSaturated(saturated []string, second found) found {
+// secondChoiceResult returns the result of a further choice that is not ready. If the first choice only lacked a
+// connection, the request waits for that connection instead.
+func secondChoiceResult(saturated []string, second found) found {
 	if len(saturated) > 0 {
 		return foundNoConnection
 	}
 	return second
 }
 
-// saturated lists the instances that have what the request needs and no free connection, and
-// reports whether another one has it. That one may still be excluded or have much to do.
+// saturated lists the instances that have the model and adapter of the request but no free connection, and reports
+// whether another such instance has one. That instance may still be excluded or crowded.
 func (e *exchange) saturated(view *fleet.View) (saturated []string, free bool) {
 	for _, instance := range view.Instances(e.service) {
 		switch {
@@ -184,7 +184,7 @@
 	return saturated, free
 }
 
-// has reports whether an instance has the model and adapter of the request.
+// has reports whether an instance has loaded the model and adapter of the request.
 func (e *exchange) has(instance *fleet.Instance) bool {
 	if e.request.Model == "" {
 		return true
@@ -193,13 +193,14 @@
 	return resident != nil && (e.request.Adapter == "" || resident.HasAdapter(e.request.Adapter))
 }
 
-// hasConnection reports whether the request can be sent to an instance now.
+// hasConnection reports whether there is a connection to an instance for the request now.
 func (e *exchange) hasConnection(instance *fleet.Instance) bool {
 	return e.gateway.upstream.HasConnection(instance.ID, e.connections())
 }
 
-func sleep(ctx context.Context, span time.Duration) {
-	timer := time.NewTimer(span)
+// sleep pauses for a duration, or until the context is done.
+func sleep(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -207,11 +208,11 @@
 	}
 }
 
-// lookPause is how often a waiting request looks again without a change, since
-// what keeps requests away from instances end by themselves.
+// lookPause is the interval at which a waiting request searches again without a change of the snapshot: conditions
+// that keep requests from instances also end by the passing of time.
 const lookPause = 100 * time.Millisecond
 
-// pick chooses among the instances that were not tried and are not excluded for another reason.
+// pick chooses among the instances that the request was not sent to and that are not excluded otherwise.
 func (e *exchange) pick(ctx context.Context, view *fleet.View, excluded []string) *balance.Candidate {
 	request := balance.Request{
 		Model: e.request.Model, Adapter: e.request.Adapter, Zone: e.gateway.settings.Zone, ZoneCost: e.gateway.settings.zoneCost(),
@@ -224,7 +225,7 @@
 	return e.gateway.chooser.Choose(ctx, view, e.service, &request)
 }
 
-// targetGap is the longest pause between two events; zero for requests that are not streams.
+// targetGap returns the route's target for the time between two events of a stream; zero for other requests.
 func (e *exchange) targetGap() time.Duration {
 	if e.route.Kind != fleet.KindStream {
 		return 0
@@ -232,7 +233,7 @@
 	return e.route.TargetGap
 }
 
-// affinity is equal for requests that share the first part of their prompt.
+// affinity returns a hash that is equal for requests of a model and adapter that share the first part of their prompt.
 func (e *exchange) affinity() uint64 {
 	if len(e.request.Prompt) == 0 {
 		return rand.Uint64()
@@ -240,8 +241,8 @@
 	return xxhash.Sum64String(e.request.Model + "/" + e.request.Adapter + "/" + e.request.Prompt[0].ID)
 }
 
-// evacuated reports whether no instance of the service is left because their zones are evacuated: an evacuation lasts
-// longer than any request can wait.
+// evacuated reports whether all instances of the service are leaving, and at least one because its zone is evacuated.
+// An evacuation lasts longer than any request can wait.
 func (e *exchange) evacuated(view *fleet.View) bool {
 	found := false
 	for _, instance := range view.Instances(e.service) {
@@ -253,8 +254,8 @@
 	return found
 }
 
-// lack tells why there is no candidate.
-func (e *exchange) lack(view *fleet.View) Reason {
+// lackReason returns why there is no candidate.
+func (e *exchange) lackReason(view *fleet.View) Reason {
 	if e.request.Model == "" {
 		return ReasonNoInstance
 	}
--- a/gateway/deadline_test.go
+++ b/gateway/deadline_test.go
@@ -11,18 +11,18 @@
 	"github.com/wheatweir/wheatweir/retry"
 )
 
-// countingChooser chooses the only instance, and counts how often it is asked.
-type countingChooser struct{ asked int }
+// countingChooser chooses the first instance, and counts its calls.
+type countingChooser struct{ calls int }
 
 func (c *countingChooser) Choose(_ context.Context, view *fleet.View, service string, _ *balance.Request) *balance.Candidate {
-	c.asked++
-	if c.asked > 3 {
-		panic("an instance is chosen again and again")
+	c.calls++
+	if c.calls > 3 {
+		panic("more than 3 choices for one request")
 	}
 	return &balance.Candidate{Instance: view.Instances(service)[0], Available: true, Of: 1}
 }
 
-// roomyUpstream has connections and is never reached.
+// roomyUpstream is an Upstream that has free connections and cannot reach any instance.
 type roomyUpstream struct{}
 
 func (roomyUpstream) HasConnection(string, int) bool { return true }
@@ -31,6 +31,7 @@
 	return nil, ErrNotSent.New("not expected")
 }
 
+// keptReply is a Reply that stores the status of a refusal.
 type keptReply struct{ status int }
 
 func (r *keptReply) Begin(int, []Field, int64) error { return nil }
@@ -44,8 +45,8 @@
 
 func (quietObserver) Observe(Event) {}
 
-// TestDeadlineThatTheContextDoesNotTellYet has the clock reach the deadline before the context
-// does: the request ends, and no instance is chosen over and over.
+// TestDeadlineThatTheContextDoesNotTellYet guards against a request that chooses an instance over and over because the
+// clock has reached the deadline and the context has not.
 func TestDeadlineThatTheContextDoesNotTellYet(t *testing.T) {
 	chooser, reply := &countingChooser{}, &keptReply{}
 	g := New(Settings{ShareOfConnections: func() float64 { return 1 }}, roomyUpstream{}, balance.NewTracker(), retry.NewBudget(0.2, 10), nil, quietObserver{})
@@ -56,10 +57,10 @@
 	now := time.Now()
 	e := &exchange{
 		gateway: g, request: &Request{Arrived: now}, reply: reply, route: &fleet.Route{Timeout: time.Second, MaxAttempts: 2},
-		service: "svc", deadline: now.Add(-time.Nanosecond), firstBy: now.Add(time.Second),
+		service: "svc", deadline: now.Add(-time.Nanosecond), firstEventDeadline: now.Add(time.Second),
 	}
 	e.run(context.Background())
-	if reply.status != statusUnavailable || chooser.asked > 1 {
-		t.Errorf("status %d after %d choices", reply.status, chooser.asked)
+	if reply.status != statusUnavailable || chooser.calls > 1 {
+		t.Errorf("status %d after %d choices", reply.status, chooser.calls)
 	}
 }
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// missingSpan is how long an instance is not asked again for a model or
-	// adapter that it turned out not to have.
-	missingSpan = 300 * time.Millisecond
-	// maxWhole bounds an answer that is taken in whole before it is passed on.
+	// missingModelTTL is how long an instance gets no requests for a model or
+	// adapter that it has reported as not loaded.
+	missingModelTTL = 300 * time.Millisecond
+	// maxWhole is the size in bytes up to which an answer is buffered whole before it is forwarded.
 	maxWhole = 1 << 20
-	// pieceSize is the most that is passed on at once.
+	// pieceSize is the size in bytes of the buffer that longer answers and streams are forwarded with.
 	pieceSize = 8 << 10
-	// maxPriority is the least urgent rank at an instance.
+	// maxPriority is the least urgent priority that an instance accepts.
 	maxPriority = 9
 )
 
-// exchange is one request with its attempts.
+// exchange is the state of one request over all its attempts.
 type exchange struct {
 	gateway *Gateway
 	request *Request
@@ -34,75 +34,77 @@
 	version uint64
 	// tenant is nil for a request without one.
 	tenant *tenant.Tenant
-	// priority is the request's rank: its tenant's if that has one, else its route's.
+	// priority is the tenant's priority if the tenant has one, else the route's.
 	priority int
-	// use is what was last taken of the tenant's limit, at allowedAt; zero if there is
-	// nothing taken that no run has used. quotaWait is when there will be something left.
+	// use is the amount last taken from the tenant's limit, and allowedAt when it was taken; allowedAt
+	// is zero if no unused amount is left. quotaWait is the time until the tenant has quota again.
 	use       Use
 	allowedAt time.Time
 	quotaWait time.Duration
-	// slotAt is the instance of which the request has a slot.
-	slotAt *fleet.Instance
-	// instanceTurnEnds is when the turn at the chosen instance lapses; zero if it names no limit.
+	// slotInstance is the instance at which the request holds a slot, or nil.
+	slotInstance *fleet.Instance
+	// instanceTurnEnds is when the turn at the chosen instance expires; zero if the instance announced no limit.
+	// A turn is the right to send one request where requests are admitted one after the other.
 	instanceTurnEnds time.Time
-	// contentTurnEnds is when the turn of the request's content lapses, if that is suspected.
+	// contentTurnEnds is when the turn of the request's content expires, if the content is suspected.
 	contentTurnEnds time.Time
-	// comeBack is when there may be a turn where there is none, or when a rest ends.
+	// comeBack is the time until a turn may be available, or until an instance's requested backoff ends.
 	comeBack time.Duration
-	// judgedBy is what the request is judged by, or nil while nothing asked for it; heldFor is what it is held for.
+	// judgedBy holds the digests that the quarantine matches, or nil until they are needed. heldFor is the digest
+	// because of which the request is held, that is kept from all instances.
 	judgedBy *quarantine.Attributes
 	heldFor  quarantine.Digest
 	deadline time.Time
-	// firstBy is when the client leaves if nothing has come by then.
-	firstBy time.Time
+	// firstEventDeadline is when the client is expected to disconnect if it has received nothing by then.
+	firstEventDeadline time.Time
 
-	// sentTo lists the instances that the request was sent to.
+	// sentTo lists the instances that the request was sent to, by ID.
 	sentTo []string
-	// passed lists instances that could not be reached; nothing was sent there. They may be tried again at
-	// reachAgainAt, a pause after the first of them.
+	// passed lists instances that could not be reached; nothing was sent to them. They may be tried again at
+	// reachRetryAt, which is reachBackoff after the first of these failures.
 	passed       []string
-	reachPause   time.Duration
-	reachAgainAt time.Time
-	// waitUntil is how long the request waits for an instance, over all its attempts.
+	reachBackoff time.Duration
+	reachRetryAt time.Time
+	// waitUntil is when the request stops waiting for an instance, over all its attempts.
 	waitUntil time.Time
-	// mayHaveRun says that an instance may have run the request.
+	// mayHaveRun is true if an instance may have run the request.
 	mayHaveRun bool
-	// begun says that the client has a part of an answer.
+	// begun is true if the client has received a part of an answer.
 	begun bool
-	// reading says that the instance has not begun to answer.
-	reading     bool
-	phase       Phase
-	resumeAfter string
-	origin      origin
-	pace        delivery
-	background  background
-	// toldStep and toldReason are the last wait that was told.
-	toldStep   Step
-	toldReason Reason
-	// forecast is the last prediction of the first token's time; zero if there is none.
+	// awaitingFirstByte is true until the instance of the current attempt begins to answer.
+	awaitingFirstByte bool
+	phase             Phase
+	resumeAfter       string
+	origin            origin
+	pace              delivery
+	background        background
+	// reportedStep and reportedReason are the last wait that was reported to the observer.
+	reportedStep   Step
+	reportedReason Reason
+	// forecast is the last predicted time to the first token; zero if there is none.
 	forecast time.Duration
-	// framing is that of the last answer of an instance.
+	// framing is the body framing of the last answer of an instance.
 	framing Framing
-	// sentAt is when the last attempt began, startedAt when its first piece came.
+	// sentAt is when the last attempt began, startedAt when the first piece of its answer arrived.
 	sentAt    time.Time
 	startedAt time.Time
 }
 
-// verdict is what follows from an attempt.
+// verdict is the result of an attempt.
 type verdict uint8
 
 const (
 	// verdictEnded means that the client has its final answer.
 	verdictEnded verdict = iota
-	// verdictUnreached means that nothing was sent.
+	// verdictUnreached means that no byte of the request was sent.
 	verdictUnreached
 	// verdictDeclined means that the instance did not run the request.
 	verdictDeclined
-	// verdictBroken means that the request may have run and failed.
+	// verdictBroken means that the instance may have run the request, and that it failed.
 	verdictBroken
 )
 
-// run makes attempts until the client has a final answer.
+// run attempts the request until the client has a final answer.
 func (e *exchange) run(ctx context.Context) {
 	defer e.leaveLine()
 	defer e.giveBackSlot()
@@ -114,7 +116,7 @@
 			e.giveUp(ctx, reason)
 			return
 		}
-		if reason := e.checkAgain(ctx); reason != "" {
+		if reason := e.recheckAdmission(ctx); reason != "" {
 			e.giveUp(ctx, reason)
 			return
 		}
@@ -130,7 +132,7 @@
 			return
 		}
 		e.settle(ctx, last, candidate.Instance)
-		if e.over(ctx) {
+		if e.expired(ctx) {
 			e.giveUp(ctx, ReasonTimeout)
 			return
 		}
@@ -138,28 +140,28 @@
 			e.giveUp(ctx, ReasonStopping)
 			return
 		}
-		if !e.mayTryAgain(last) {
+		if !e.mayRetry(last) {
 			e.giveUp(ctx, reasonOf(last))
 			return
 		}
 	}
 }
 
-// since returns how long a moment ago is, and until how long one lies ahead.
+// since returns the time that has passed since a moment, and until the time that remains until one.
 func (e *exchange) since(moment time.Time) time.Duration { return e.gateway.Now().Sub(moment) }
 
 func (e *exchange) until(moment time.Time) time.Duration { return moment.Sub(e.gateway.Now()) }
 
-// over reports whether the request's time is over, or its client has left. The context may tell of
-// the deadline a little later than the clock does: without a look at both, a request would choose
-// an instance again and again until it does.
-func (e *exchange) over(ctx context.Context) bool {
+// expired reports whether the request's deadline has passed or its client has disconnected. The context may
+// report the deadline a little later than the clock does. If only the context were checked, the request would
+// choose an instance over and over in between.
+func (e *exchange) expired(ctx context.Context) bool {
 	return ctx.Err() != nil || !e.gateway.Now().Before(e.deadline)
 }
 
-// checkAgain reports why the request may not go to an instance now, or nothing: it may have waited
-// since it was let in.
-func (e *exchange) checkAgain(ctx context.Context) Reason {
+// recheckAdmission returns why the request may no longer be sent, or an empty reason. Its key, content and quota
+// are checked again, since it may have waited since it was admitted.
+func (e *exchange) recheckAdmission(ctx context.Context) Reason {
 	if reason := e.identifyAgain(); reason != "" {
 		return reason
 	}
@@ -180,11 +182,11 @@
 	}
 }
 
-// maxUnreached bounds the instances that a request tries to reach in vain.
+// maxUnreached is the number of unreachable instances after which a request is refused.
 const maxUnreached = 3
 
-// mayTryAgain reports whether another instance may be tried.
-func (e *exchange) mayTryAgain(last verdict) bool {
+// mayRetry reports whether the request may be sent to another instance. It takes from the retry budget.
+func (e *exchange) mayRetry(last verdict) bool {
 	if last == verdictUnreached {
 		return len(e.passed) < maxUnreached
 	}
@@ -197,7 +199,7 @@
 	return e.gateway.budget.Take()
 }
 
-// giveUp gives the client its final answer, or breaks it off if a part is out.
+// giveUp ends the request with an error answer, or aborts the answer if a part of it was sent.
 func (e *exchange) giveUp(ctx context.Context, reason Reason) {
 	if drain.Stopped(ctx) {
 		reason = ReasonStopping
@@ -220,7 +222,7 @@
 	}
 }
 
-// refuse gives the client an answer of our own.
+// refuse sends an error answer to the client.
 func (e *exchange) refuse(status int, reason Reason) {
 	retryAfter := time.Duration(0)
 	if e.lacksCapacity(reason) {
@@ -232,21 +234,22 @@
 	case reason == ReasonAtLimit, reason == ReasonResting, reason == ReasonSuspected:
 		retryAfter = max(e.comeBack, e.gateway.settings.RetryAfter)
 	case reason == ReasonQuota:
-		retryAfter = e.gateway.shortages.refused(time.Now(), tenantShortage+e.tenant.Name, e.quotaWait)
+		retryAfter = e.gateway.shortageTracker.recordRefusal(time.Now(), tenantKeyPrefix+e.tenant.Name, e.quotaWait)
 	case status == statusUnavailable:
 		retryAfter = e.gateway.retryAfter(e.request, reason)
 	}
 	e.observe(e.gateway.refuse(e.reply, e.request, status, reason, retryAfter))
 }
 
-// observeOnce tells of the first wait of its kind.
+// observeOnce reports a wait to the observer unless the last reported wait has the same step and reason.
 func (e *exchange) observeOnce(step Step, reason Reason) {
-	if e.toldStep != step || e.toldReason != reason {
-		e.toldStep, e.toldReason = step, reason
+	if e.reportedStep != step || e.reportedReason != reason {
+		e.reportedStep, e.reportedReason = step, reason
 		e.observe(Event{Step: step, Reason: reason})
 	}
 }
 
+// observe completes an event with the data of the request and reports it.
 func (e *exchange) observe(event Event) {
 	event.Request = e.request
 	event.Route = e.route
@@ -272,7 +275,7 @@
 	e.gateway.observer.Observe(event)
 }
 
-// attempt sends the request to one instance and passes the answer on.
+// attempt sends the request to one instance and forwards the answer.
 func (e *exchange) attempt(ctx context.Context, candidate *balance.Candidate) verdict {
 	id := candidate.Instance.ID
 	outbound := &Outbound{
@@ -288,28 +291,28 @@
 	e.contentTurnEnds = time.Time{}
 	e.gateway.tracker.Begin(id, e.request.PromptTokens)
 	e.leaveLine()
-	e.reading, e.sentAt, e.startedAt = true, e.gateway.Now(), time.Time{}
+	e.awaitingFirstByte, e.sentAt, e.startedAt = true, e.gateway.Now(), time.Time{}
 	response, err := e.gateway.upstream.Send(ctx, outbound)
 	if err != nil {
 		return e.failedSend(ctx, candidate.Instance, err)
 	}
 	e.sentTo = append(e.sentTo, id)
 	if !response.Executed() {
-		return e.declined(id, response)
+		return e.handleDeclined(id, response)
 	}
-	e.ran()
+	e.recordRun()
 	e.phase, e.framing = PhaseAnswering, response.Framing()
 	return e.pass(ctx, candidate, response)
 }
 
-// ran notes that an instance runs the request, or may have run it.
-func (e *exchange) ran() {
+// recordRun records that an instance runs the request, or may have run it.
+func (e *exchange) recordRun() {
 	e.mayHaveRun = true
-	// The run has used the allowance; a further one needs its own.
+	// This run has used the allowance; a further run needs its own.
 	e.allowedAt = time.Time{}
 }
 
-// connections is this daemon's part of the connections to one instance.
+// connections returns this daemon's maximum number of connections to one instance; zero means no limit.
 func (e *exchange) connections() int {
 	service := e.gateway.view.Load().Service(e.service)
 	if service == nil || service.MaxConnections == 0 {
@@ -327,14 +330,14 @@
 			outcome = balance.Abandoned
 		}
 		if !ownReason {
-			e.passOver(id)
+			e.recordUnreached(id)
 		}
 		e.end(id, outcome)
 		e.observe(Event{Step: StepUnreached, Instance: id, Err: err})
 		return verdictUnreached
 	}
 	e.sentTo = append(e.sentTo, id)
-	e.ran()
+	e.recordRun()
 	outcome := balance.Broken
 	if ctx.Err() != nil {
 		outcome = balance.Failed
@@ -345,8 +348,8 @@
 	return verdictBroken
 }
 
-// blame returns the outcome of an attempt that ended without a whole answer: the
-// instance is not to blame if the client left or this daemon ends.
+// blame returns the outcome of an attempt that ended without a whole answer. It does not count against the
+// instance if the client disconnected or this daemon is shutting down.
 func blame(ctx context.Context, outcome balance.Outcome) balance.Outcome {
 	if clientLeft(ctx) || drain.Stopped(ctx) {
 		return balance.Abandoned
@@ -354,36 +357,36 @@
 	return outcome
 }
 
-func (e *exchange) declined(id string, response Response) verdict {
+func (e *exchange) handleDeclined(id string, response Response) verdict {
 	misdirected := response.Misdirected()
 	status := response.Status()
 	response.Close()
 	outcome := balance.Declined
 	if misdirected {
 		outcome = balance.Abandoned
-		e.gateway.tracker.Missing(time.Now(), id, e.request.Model, e.request.Adapter, missingSpan)
+		e.gateway.tracker.Missing(time.Now(), id, e.request.Model, e.request.Adapter, missingModelTTL)
 	} else {
-		// The instance had less room than was counted on.
-		e.slotAt = nil
+		// The slot is not given back: the instance had less capacity than was assumed.
+		e.slotInstance = nil
 	}
 	e.end(id, outcome)
 	if !misdirected {
-		e.turnedAway(id)
+		e.reportNoRoom(id)
 	}
 	e.observe(Event{Step: StepDeclined, Instance: id, Status: status})
 	return verdictDeclined
 }
 
-// started notes that the instance has begun to answer.
-func (e *exchange) started(id string) {
-	if e.reading {
-		e.reading = false
+// recordAnswerStart records that the instance has begun to answer.
+func (e *exchange) recordAnswerStart(id string) {
+	if e.awaitingFirstByte {
+		e.awaitingFirstByte = false
 		e.gateway.tracker.Started(id, e.request.PromptTokens)
 	}
 }
 
 func (e *exchange) end(id string, outcome balance.Outcome) {
-	e.started(id)
+	e.recordAnswerStart(id)
 	e.giveBackSlot()
 	siblings := e.gateway.view.Load().Instances(e.service)
 	if e.gateway.tracker.End(time.Now(), id, outcome, siblings) {
--- a/gateway/fakes_test.go
+++ b/gateway/fakes_test.go
@@ -16,7 +16,7 @@
 	"github.com/wheatweir/wheatweir/retry"
 )
 
-// answer is what a scripted instance does with one request.
+// answer is the scripted reaction of an instance to one request.
 type answer struct {
 	err         error
 	status      int
@@ -24,36 +24,36 @@
 	declined    bool
 	misdirected bool
 	body        string
-	// framing is by chunks if it is empty.
+	// framing is the body framing; empty means chunks.
 	framing gateway.Framing
-	// piece is the most bytes in one read; zero means no bound.
+	// piece is the maximum number of bytes in one read; zero means no limit.
 	piece int
 	// cut ends the body with an error.
 	cut bool
-	// hang answers only when the request's context ends.
+	// hang blocks until the request's context ends, and then returns an error.
 	hang bool
-	// stall reads no more after the body until the request's context ends.
+	// stall blocks reads after the body until the request's context ends.
 	stall bool
-	// after is how long the head of the answer, or the error, takes.
+	// after is the delay before the head of the answer, or before the error.
 	after time.Duration
-	// pause is how long the end of the answer comes after the body.
+	// pause is the delay between the body and the end of the answer.
 	pause time.Duration
 }
 
-// crowded is a Chooser whose only instance has many prompts to read.
+// crowded is a Chooser that always chooses the first instance and reports it as crowded.
 type crowded struct{}
 
 func (crowded) Choose(_ context.Context, view *fleet.View, service string, _ *balance.Request) *balance.Candidate {
 	return &balance.Candidate{Instance: view.Instances(service)[0], Available: true, Crowded: true, Of: 1}
 }
 
-// script is an Upstream that answers by a list.
+// script is an Upstream that answers requests from a list, and then with a default answer.
 type script struct {
 	mutex   sync.Mutex
 	answers []answer
 	sent    []gateway.Outbound
 	left    []time.Duration
-	// connectionsFreeAt is until when all connections to an instance are in use.
+	// connectionsFreeAt is the time until which all connections to an instance are in use, by ID.
 	connectionsFreeAt map[string]time.Time
 }
 
@@ -117,7 +117,7 @@
 	return count, err
 }
 
-// client is a Reply that keeps what it gets.
+// client is a Reply that stores what it receives.
 type client struct {
 	status     int
 	reason     gateway.Reason
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -13,7 +13,7 @@
 	"github.com/wheatweir/wheatweir/retry"
 )
 
-// Own answers.
+// Status codes of answers that this daemon gives itself.
 const (
 	statusUnauthorized = 401
 	statusNotFound     = 404
@@ -22,38 +22,38 @@
 	statusTimeout      = 504
 )
 
-// Settings of the request path.
+// Settings configures a Gateway.
 type Settings struct {
-	// Now is the clock by which requests grow old; nil means the steady clock of the machine, which stands
-	// still while it is suspended.
+	// Now is the clock that request ages and deadlines are measured with. Nil means the monotonic clock of the
+	// machine, which does not advance while the machine is suspended.
 	Now func() time.Time
 	// Zone is the zone of this daemon.
 	Zone string
-	// RetryAfter is when a client that was refused may come back.
+	// RetryAfter is the default delay after which a refused client may retry.
 	RetryAfter time.Duration
-	// WaitShare is the share of the time left that a request waits for an
-	// instance that can take it.
+	// WaitShare is the share of its remaining time that a request may spend
+	// waiting for an instance that can take it.
 	WaitShare float64
-	// ShareOfConnections is this daemon's part of the connections that an
-	// instance takes; zero means no bound.
+	// ShareOfConnections returns this daemon's share of the connections that a
+	// service allows to each of its instances.
 	ShareOfConnections func() float64
-	// ZoneCost is what an instance of another zone counts against it; nil means
-	// nothing. See balance.Request.
+	// ZoneCost returns the penalty of an instance in another zone; nil means no
+	// penalty. See balance.Request.
 	ZoneCost func() float64
-	// KeysSure reports whether the configuration here is new enough to tell which keys are
-	// valid; nil means that it always is.
+	// KeysSure reports whether this daemon's configuration is recent enough to decide which keys
+	// are valid; nil means that it always is.
 	KeysSure func(now time.Time) bool
-	// Quotas holds tenants to their limits; nil means that there are none.
+	// Quotas enforces the limits of tenants; nil disables them.
 	Quotas Quotas
-	// Quarantine keeps requests from instances that crash whatever runs them; nil means that
-	// nothing does.
+	// Quarantine withholds requests whose content crashes the instances that run it; nil disables
+	// this.
 	Quarantine Quarantine
-	// Notices tells what instances have said of themselves; nil means that none says anything.
+	// Notices holds the restrictions that instances have announced for themselves; nil means that there are none.
 	Notices Notices
-	// Origins knows which software version began a stream; nil means that nobody does, and that streams that clients
-	// take up go on anywhere.
+	// Origins finds the software version that began a stream. Nil means that it is not tracked, and that a stream
+	// which a client resumes may continue at any instance.
 	Origins Origins
-	// Samples hears how fast instances work; nil means that nothing is measured.
+	// Samples receives measurements of the speed of instances; nil disables measuring.
 	Samples SampleObserver
 }
 
@@ -64,21 +64,21 @@
 	return s.ZoneCost()
 }
 
-// DemandObserver hears of what requests are waiting for.
+// DemandObserver receives the demand for models and adapters, as the placement of models needs it.
 type DemandObserver interface {
-	// Lacking notes that a request needs a model or adapter that no instance has.
-	// The function must be called when the request no longer waits.
+	// Lacking records that a request needs a model or adapter that no instance has loaded.
+	// The caller must call the returned function when the request stops waiting.
 	Lacking(service, model, adapter string) func()
-	// LackingSoftware notes that a stream needs a model at instances of a software version, none of which has it. The
-	// function must be called when the stream no longer waits.
+	// LackingSoftware records that a stream needs a model at instances of a software version, none of which has it
+	// loaded. The caller must call the returned function when the stream stops waiting.
 	LackingSoftware(service, model, software string) func()
-	// Enter notes that a request for a model began; the function ends it.
+	// Enter records that a request for a model began; the returned function records its end.
 	Enter(service, model string) func()
-	// Refused notes that a request that began was refused for lack of capacity.
+	// Refused records that a request that had begun was refused for lack of capacity.
 	Refused(service, model string)
 }
 
-// Gateway serves requests. It is safe for concurrent use.
+// Gateway forwards requests to instances. It is safe for concurrent use.
 type Gateway struct {
 	settings Settings
 	upstream Upstream
@@ -91,17 +91,17 @@
 	changed  atomic.Pointer[chan struct{}]
 	active   atomic.Int64
 	lifetime *drain.Lifetime
-	// shortages are the models that requests were refused for.
-	shortages *shortages
-	// holds are the background requests that wait for more urgent ones.
+	// shortageTracker holds the models and tenants whose requests are being refused.
+	shortageTracker *shortageTracker
+	// holds queues the background requests that wait for more urgent ones.
 	holds *holdLines
 }
 
-// New returns a gateway that knows nothing yet.
+// New returns a gateway without a configuration. It refuses all requests until SetView is called with one.
 func New(settings Settings, upstream Upstream, tracker *balance.Tracker, budget *retry.Budget, demand DemandObserver, observer Observer) *Gateway {
 	g := &Gateway{
-		settings: settings, upstream: upstream, tracker: tracker, chooser: ownChooser{balance.NewPicker(tracker)},
-		budget: budget, demand: demand, observer: observer, shortages: newShortages(), lifetime: drain.NewLifetime(),
+		settings: settings, upstream: upstream, tracker: tracker, chooser: localChooser{balance.NewPicker(tracker)},
+		budget: budget, demand: demand, observer: observer, shortageTracker: newShortageTracker(), lifetime: drain.NewLifetime(),
 		holds: newHoldLines(),
 	}
 	g.view.Store(fleet.NewView(nil, nil))
@@ -110,30 +110,30 @@
 	return g
 }
 
-// Chooser chooses the instance that takes a request, or nil if none may.
+// Chooser selects the instance for a request, or nil if no instance may take it.
 type Chooser interface {
 	Choose(ctx context.Context, view *fleet.View, service string, request *balance.Request) *balance.Candidate
 }
 
-// ownChooser chooses by what this daemon knows.
-type ownChooser struct{ picker *balance.Picker }
+// localChooser selects instances by the load that this daemon knows of.
+type localChooser struct{ picker *balance.Picker }
 
 // Choose implements Chooser.
-func (c ownChooser) Choose(_ context.Context, view *fleet.View, service string, request *balance.Request) *balance.Candidate {
+func (c localChooser) Choose(_ context.Context, view *fleet.View, service string, request *balance.Request) *balance.Candidate {
 	return c.picker.Pick(time.Now(), view.Instances(service), request)
 }
 
-// SetChooser replaces the chooser. It must be called before the first request.
+// SetChooser replaces the chooser. It must be called before the first call of Serve.
 func (g *Gateway) SetChooser(chooser Chooser) { g.chooser = chooser }
 
-// SetView replaces the snapshot, and wakes requests that wait for a change.
+// SetView replaces the snapshot of the fleet, and wakes the requests that wait for a change.
 func (g *Gateway) SetView(view *fleet.View) {
 	g.view.Store(view)
 	next := make(chan struct{})
 	close(*g.changed.Swap(&next))
 }
 
-// Now is the time by which requests grow old.
+// Now returns the time on the clock that request ages and deadlines are measured with.
 func (g *Gateway) Now() time.Time {
 	if g.settings.Now == nil {
 		return time.Now()
@@ -141,17 +141,17 @@
 	return g.settings.Now()
 }
 
-// View returns the snapshot in force.
+// View returns the current snapshot of the fleet.
 func (g *Gateway) View() *fleet.View { return g.view.Load() }
 
 // Active returns the number of requests in progress.
 func (g *Gateway) Active() int { return int(g.active.Load()) }
 
-// Serve answers one request. Ctx ends when the client leaves.
+// Serve answers one request. Ctx is cancelled when the client disconnects.
 func (g *Gateway) Serve(ctx context.Context, request *Request, reply Reply) {
 	g.active.Add(1)
 	defer g.active.Add(-1)
-	// Before the snapshot: a newer one may come in between, never an older one.
+	// This check precedes the load of the snapshot: the snapshot may be newer than the check, never older.
 	sure := g.sure(request.Arrived)
 	view := g.view.Load()
 	if g.lifetime.Drained() {
@@ -178,7 +178,7 @@
 	}
 	ctx, release := g.lifetime.Bind(ctx)
 	defer release()
-	// By its span: the context's own clock may have stood still before.
+	// The timeout is a duration, not a deadline: the context's own clock may not have advanced during a suspension.
 	ctx, cancel := context.WithTimeout(ctx, e.until(e.deadline))
 	defer cancel()
 	if reason := e.findOrigin(ctx); reason != "" {
@@ -197,20 +197,20 @@
 	e.run(ctx)
 }
 
-// newExchange begins the work on a request of a route.
+// newExchange returns the exchange for a request that matched a route.
 func (g *Gateway) newExchange(view *fleet.View, route *fleet.Route, request *Request, reply Reply) *exchange {
-	held := route.Timeout
+	timeout := route.Timeout
 	if request.Patience > 0 {
-		held = min(held, request.Patience)
+		timeout = min(timeout, request.Patience)
 	}
 	return &exchange{
 		gateway: g, request: request, reply: reply, route: route, priority: route.Priority, version: view.Version(),
-		deadline: request.Arrived.Add(held), firstBy: request.Arrived.Add(min(held, route.FirstEventPatience())),
+		deadline: request.Arrived.Add(timeout), firstEventDeadline: request.Arrived.Add(min(timeout, route.FirstEventPatience())),
 		service: chooseTarget(route),
 	}
 }
 
-// chooseTarget draws a service by the weights of the route.
+// chooseTarget selects a service at random, by the weights of the route.
 func chooseTarget(route *fleet.Route) string {
 	total := 0
 	for _, target := range route.Targets {
@@ -229,7 +229,7 @@
 	return route.Targets[0].Service
 }
 
-// Refuse answers a request that is not to be served.
+// Refuse sends an error answer for a request that is not forwarded to an instance.
 func (g *Gateway) Refuse(request *Request, reply Reply, status int, reason Reason) {
 	retryAfter := time.Duration(0)
 	if status == statusUnavailable {
@@ -238,7 +238,7 @@
 	g.observer.Observe(g.refuse(reply, request, status, reason, retryAfter))
 }
 
-// NotRead ends a request whose body did not arrive: its client left, or this daemon ends.
+// NotRead ends a request whose body was not received: its client disconnected, or this daemon is shutting down.
 func (g *Gateway) NotRead(request *Request, reply Reply) {
 	if g.lifetime.Ended() {
 		g.Refuse(request, reply, statusUnavailable, ReasonStopping)
@@ -248,14 +248,14 @@
 	g.observer.Observe(Event{Step: StepEnded, Request: request, Reason: ReasonClientGone, Phase: PhaseReading, Version: g.view.Load().Version()})
 }
 
-// refuse gives the client an answer of our own and returns what the observer should hear.
+// refuse sends an error answer to the client and returns the event to report to the observer.
 func (g *Gateway) refuse(reply Reply, request *Request, status int, reason Reason, retryAfter time.Duration) Event {
 	reply.Refuse(status, reason, retryAfter)
 	return Event{Step: StepRefused, Request: request, Status: status, Reason: reason, RetryAfter: retryAfter, Version: g.view.Load().Version()}
 }
 
-// retryAfter is when a client that is refused for a reason should come back: when its model
-// has room again, as far as that can be told.
+// retryAfter returns the delay after which a client that is refused for a reason should retry: an estimate of when
+// its model has capacity again.
 func (g *Gateway) retryAfter(request *Request, reason Reason) time.Duration {
 	switch reason {
 	case ReasonStopping:
@@ -267,5 +267,5 @@
 	if request.Model == "" || !mechanism.Enabled(mechanism.ReturnLater) {
 		return g.settings.RetryAfter
 	}
-	return g.shortages.refused(time.Now(), request.Model, g.settings.RetryAfter)
+	return g.shortageTracker.recordRefusal(time.Now(), request.Model, g.settings.RetryAfter)
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -77,7 +77,7 @@
 					got.status, got.body.String(), got.aborted, len(upstream.sent), c.status, c.body, c.aborted, c.sent)
 			}
 			if got.status == 503 && got.retryAfter == 0 {
-				t.Error("a refusal does not tell when to come back")
+				t.Error("refusal without a retry delay")
 			}
 			var instances []string
 			for _, sent := range upstream.sent {
@@ -106,12 +106,12 @@
 	got := &client{}
 	g.Serve(context.Background(), request("unsafe"), got)
 	if got.status != 503 || got.retryAfter == 0 {
-		t.Fatalf("status %d, come back after %v", got.status, got.retryAfter)
+		t.Fatalf("status %d, retry after %v", got.status, got.retryAfter)
 	}
 }
 
-// TestTimeLimits runs requests against instances that never answer, in virtual
-// time: each ends at the earlier of its client's deadline and its route's limit.
+// TestTimeLimits guards against requests that outlast their timeout when an instance never answers. Each must end,
+// in virtual time, at the earlier of the client's deadline and the route's timeout.
 func TestTimeLimits(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -136,7 +136,7 @@
 					t.Fatalf("status %d after %v, want 504 after %v", got.status, took, c.want)
 				}
 				if upstream.left[0] > c.want {
-					t.Errorf("handed on %v", upstream.left[0])
+					t.Errorf("the instance was given %v", upstream.left[0])
 				}
 			})
 		})
@@ -158,8 +158,8 @@
 	})
 }
 
-// TestModelThatNobodyHas covers a request that waits until a model is loaded, and
-// one that gives up in time to say when to come back.
+// TestModelThatNobodyHas covers a request that waits until its model is loaded, and
+// one that is refused with a retry delay while its client still waits.
 func TestModelThatNobodyHas(t *testing.T) {
 	for _, loaded := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -178,7 +178,7 @@
 				t.Errorf("status %d after %v", got.status, took)
 			}
 			if !loaded && (got.status != 503 || took > 2*time.Second+100*time.Millisecond) {
-				t.Errorf("status %d after %v, want a refusal after half of the client's patience", got.status, took)
+				t.Errorf("status %d after %v, want a refusal after half of the time limit", got.status, took)
 			}
 			if len(demand.wanted) != 1 || demand.wanted[0] != "m/" {
 				t.Errorf("wanted %v", demand.wanted)
@@ -187,7 +187,7 @@
 	}
 }
 
-// TestRetriesKeepTheirBudget sends many requests to instances that all decline.
+// TestRetriesKeepTheirBudget guards against retries beyond the retry budget when all instances decline.
 func TestRetriesKeepTheirBudget(t *testing.T) {
 	upstream := &script{}
 	for range 300 {
@@ -204,23 +204,25 @@
 	}
 }
 
-// recorder keeps the events that it hears of.
+// recorder is an Observer that stores the events.
 type recorder struct{ events []gateway.Event }
 
 func (r *recorder) Observe(event gateway.Event) { r.events = append(r.events, event) }
 
-// pausing is a stream whose second piece comes late.
-type pausing struct {
+// pausedStream is an Upstream and its Response, a stream with a pause before each piece.
+type pausedStream struct {
 	response
 	pieces []string
 	pause  time.Duration
 }
 
-func (p *pausing) HasConnection(string, int) bool { return true }
+func (p *pausedStream) HasConnection(string, int) bool { return true }
 
-func (p *pausing) Send(context.Context, *gateway.Outbound) (gateway.Response, error) { return p, nil }
+func (p *pausedStream) Send(context.Context, *gateway.Outbound) (gateway.Response, error) {
+	return p, nil
+}
 
-func (p *pausing) Read(buffer []byte) (int, error) {
+func (p *pausedStream) Read(buffer []byte) (int, error) {
 	time.Sleep(p.pause)
 	if len(p.pieces) == 0 {
 		return 0, io.EOF
@@ -230,25 +232,25 @@
 	return count, nil
 }
 
-// TestStreamTellsWhenItsEventsCame says for a stream when its first event went out and
-// how long the client waited between two, so that a late answer can be explained.
+// TestStreamTellsWhenItsEventsCame guards against a final event of a stream without the time of its first event and
+// the longest pause between two events. Operators need both to explain a late answer.
 func TestStreamTellsWhenItsEventsCame(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		upstream := &pausing{response: response{answer: answer{status: 200}}, pieces: []string{"id: 1\n\n", "id: 2\n\n"}, pause: 400 * time.Millisecond}
-		heard := &recorder{}
+		upstream := &pausedStream{response: response{answer: answer{status: 200}}, pieces: []string{"id: 1\n\n", "id: 2\n\n"}, pause: 400 * time.Millisecond}
+		observer := &recorder{}
 		settings := gateway.Settings{WaitShare: 0.5, ShareOfConnections: func() float64 { return 1 }}
-		served := gateway.New(settings, upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), &noDemand{}, heard)
+		served := gateway.New(settings, upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), &noDemand{}, observer)
 		served.SetView(view())
 		served.Serve(context.Background(), request("stream"), &client{})
-		last := heard.events[len(heard.events)-1]
+		last := observer.events[len(observer.events)-1]
 		if last.Step != gateway.StepEnded || last.FirstEvent != 400*time.Millisecond || last.LongestPause != 400*time.Millisecond {
 			t.Errorf("%s first event after %v, longest pause %v", last.Step, last.FirstEvent, last.LongestPause)
 		}
 	})
 }
 
-// TestOnlyAConnectionThatEndsWithoutAnAnswerCountsAsBroken covers what the other daemons
-// are told of an instance after an attempt there.
+// TestOnlyAConnectionThatEndsWithoutAnAnswerCountsAsBroken covers the load reports to the other daemons: only a
+// connection that an instance closes before it answers counts as broken there.
 func TestOnlyAConnectionThatEndsWithoutAnAnswerCountsAsBroken(t *testing.T) {
 	cases := []struct {
 		name   string
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -10,8 +10,8 @@
 	"github.com/wheatweir/wheatweir/fleet"
 )
 
-// busyTracker knows that answers run for a second, and that the only instance of the model
-// has a number of requests from another daemon.
+// busyTracker returns a tracker that has measured answers of one second, and to which another daemon has reported a
+// number of requests at the only instance of the model.
 func busyTracker(requests int) *balance.Tracker {
 	tracker := balance.NewTracker()
 	for range 20 {
@@ -21,7 +21,7 @@
 	return tracker
 }
 
-// oneInstance holds the model on a single instance with four places.
+// oneInstance returns a view in which a single instance, with four places in its batch, has the model.
 func oneInstance(priority int) *fleet.View {
 	routes := configuration()
 	for i := range routes.Routes {
@@ -30,8 +30,9 @@
 	return fleet.NewView(routes, []*fleet.Instance{{ID: "i1", Service: "svc", Slots: 4, Residents: []fleet.Resident{{Model: "m"}}}})
 }
 
-// TestWhatCannotBeginInTimeIsRefusedAtOnce has requests in line at the only instance; each
-// place in its batch comes free after a quarter of a second, and the target is a second.
+// TestWhatCannotBeginInTimeIsRefusedAtOnce guards against requests that are queued although their first token would come
+// too late, and against refusals of those in time. A place in the batch of the only instance becomes free every
+// quarter of a second, and the target is one second.
 func TestWhatCannotBeginInTimeIsRefusedAtOnce(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -45,7 +46,7 @@
 		{"too late behind eight", 12, 0, "", false},
 		{"too late after a wait", 6, 600 * time.Millisecond, "", false},
 		{"late after a wait, but begins soon", 3, 990 * time.Millisecond, "", true},
-		{"a stream that goes on", 12, 0, "7", true},
+		{"a resumed stream", 12, 0, "7", true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -61,15 +62,15 @@
 					t.Fatalf("status %d (%s), want served %v", got.status, got.reason, c.served)
 				}
 				if !c.served && (got.at != begun || got.retryAfter == 0 || len(upstream.sent) > 0) {
-					t.Errorf("refused after %v, come back after %v, sent %d times", got.at.Sub(begun), got.retryAfter, len(upstream.sent))
+					t.Errorf("refused after %v, retry after %v, sent %d times", got.at.Sub(begun), got.retryAfter, len(upstream.sent))
 				}
 			})
 		})
 	}
 }
 
-// TestPatientRequestsWaitHereWhileABatchIsFull looks at when a request reaches an instance
-// whose batch is full.
+// TestPatientRequestsWaitHereWhileABatchIsFull guards against less urgent requests that are sent to an instance with a
+// full batch, where they would delay urgent ones, and against a delay of urgent ones.
 func TestPatientRequestsWaitHereWhileABatchIsFull(t *testing.T) {
 	for priority, want := range map[int]time.Duration{0: 0, 1: 300 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
@@ -88,8 +89,8 @@
 	}
 }
 
-// TestRefusalsForLackOfCapacityAreDemand guards against models that look idle because their requests are refused at once,
-// and against refusals for other reasons that look like demand.
+// TestRefusalsForLackOfCapacityAreDemand guards against models that appear idle because their requests are refused at
+// once, and against refusals for other reasons that are counted as demand.
 func TestRefusalsForLackOfCapacityAreDemand(t *testing.T) {
 	cases := []struct {
 		name   string
--- a/gateway/pace_test.go
+++ b/gateway/pace_test.go
@@ -11,21 +11,21 @@
 	"github.com/wheatweir/wheatweir/fleet"
 )
 
-// asked is a Chooser that keeps what it is asked, and says that its only instance has a slowness.
-type asked struct {
+// choiceRecorder is a Chooser that stores its requests, and returns the first instance with a given slowness and load.
+type choiceRecorder struct {
 	requests []balance.Request
 	slowness float64
 	load     balance.Load
 }
 
-func (c *asked) Choose(_ context.Context, view *fleet.View, service string, request *balance.Request) *balance.Candidate {
+func (c *choiceRecorder) Choose(_ context.Context, view *fleet.View, service string, request *balance.Request) *balance.Candidate {
 	c.requests = append(c.requests, *request)
 	return &balance.Candidate{Instance: view.Instances(service)[0], Available: true, Of: 1, Slowness: c.slowness, Load: c.load}
 }
 
-// serveStream sends a stream of 40 expected tokens, the first of which comes after 200 ms and the
+// serveStream serves a request with 40 expected tokens, the first of which arrives after 200 ms and the
 // last 400 ms later.
-func serveStream(tracker *balance.Tracker, chooser *asked, route, resumeAfter string) *client {
+func serveStream(tracker *balance.Tracker, chooser *choiceRecorder, route, resumeAfter string) *client {
 	upstream := &script{answers: []answer{{status: 200, body: "id: 1\n\n", after: 200 * time.Millisecond, pause: 400 * time.Millisecond}}}
 	g := trackedGateway(upstream, &noDemand{}, tracker)
 	routes := configuration()
@@ -40,22 +40,22 @@
 	return got
 }
 
-// TestTheChoiceHearsWhatItDependsOn guards against a choice without the length of the answer, its
-// target gap or the token times of this daemon. The load is eight requests, one after another.
+// TestTheChoiceHearsWhatItDependsOn guards against a choice that does not receive the length of the answer, its target
+// gap or the token times of this daemon. Eight requests are served before, one after another.
 func TestTheChoiceHearsWhatItDependsOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tracker, chooser := balance.NewTracker(), &asked{slowness: 2}
+		tracker, chooser := balance.NewTracker(), &choiceRecorder{slowness: 2}
 		for range 9 {
 			serveStream(tracker, chooser, "stream", "")
 		}
 		first, last := chooser.requests[0], chooser.requests[8]
 		if first.OutputTokens != 40 || first.TargetGap != 300*time.Millisecond || first.Tokens != (balance.TokenTimes{}) {
-			t.Errorf("the first choice was asked for %+v", first)
+			t.Errorf("the first choice received %+v", first)
 		}
-		// The server is twice as slow as the typical one.
+		// The instance is twice as slow as the typical one.
 		want := balance.TokenTimes{Read: 50 * time.Microsecond, Generate: 5 * time.Millisecond, Output: 40}
 		if last.Tokens != want {
-			t.Errorf("after eight streams the choice hears %+v, want %+v", last.Tokens, want)
+			t.Errorf("after eight streams the choice receives %+v, want %+v", last.Tokens, want)
 		}
 		serveStream(tracker, chooser, "safe", "")
 		if got := chooser.requests[9].TargetGap; got != 0 {
@@ -64,28 +64,28 @@
 	})
 }
 
-// TestAResumedStreamTeachesNothingAboutTokens guards against token times that are too short: the
-// rest of a stream takes less than the whole that its client expects.
+// TestAResumedStreamTeachesNothingAboutTokens guards against token times that are too short because a resumed stream,
+// which is only the rest of the answer, is measured as the whole answer that its client expects.
 func TestAResumedStreamTeachesNothingAboutTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tracker, chooser := balance.NewTracker(), &asked{}
+		tracker, chooser := balance.NewTracker(), &choiceRecorder{}
 		for range 9 {
 			serveStream(tracker, chooser, "resume", "7")
 		}
 		if got := chooser.requests[8].Tokens; got != (balance.TokenTimes{}) {
-			t.Errorf("learned %+v", got)
+			t.Errorf("token times %+v after resumed streams only", got)
 		}
 	})
 }
 
-// TestTheSlownessOfTheChosenServerIsInTheForecast guards against requests that are refused for a
-// forecast of another server's speed, or sent to one that begins too late. Six requests wait or
-// run at four places, and answers of the typical server run for a second.
+// TestTheSlownessOfTheChosenServerIsInTheForecast guards against forecasts that ignore the slowness of the chosen
+// instance: requests would be refused for the speed of another instance, or sent to one that begins too late. Six
+// requests wait or run at four places, and answers of the typical instance run for a second.
 func TestTheSlownessOfTheChosenServerIsInTheForecast(t *testing.T) {
 	for slowness, served := range map[float64]bool{0: true, 1: true, 2: false, 0.5: true} {
 		t.Run(fmt.Sprint(slowness), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				tracker, chooser := balance.NewTracker(), &asked{slowness: slowness, load: balance.Load{Requests: 6}}
+				tracker, chooser := balance.NewTracker(), &choiceRecorder{slowness: slowness, load: balance.Load{Requests: 6}}
 				tracker.Run(&balance.Candidate{Instance: &fleet.Instance{ID: "other", Service: "svc", Slots: 4}}, time.Second)
 				if got := serveStream(tracker, chooser, "stream", ""); (got.status == 200) != served {
 					t.Errorf("status %d (%s), want served %v", got.status, got.reason, served)
--- a/gateway/refuse_test.go
+++ b/gateway/refuse_test.go
@@ -7,8 +7,8 @@
 	"github.com/wheatweir/wheatweir/gateway"
 )
 
-// TestEveryEndOfARequestIsTold covers requests that end before a route is chosen: each one has
-// its line in the log.
+// TestEveryEndOfARequestIsTold guards against requests that end before a route is selected without an event, and so
+// without a line in the log.
 func TestEveryEndOfARequestIsTold(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -17,17 +17,17 @@
 		step   gateway.Step
 		reason gateway.Reason
 	}{
-		{"requests no longer begin", func(g *gateway.Gateway, sent *gateway.Request, reply gateway.Reply) {
+		{"the daemon drains", func(g *gateway.Gateway, sent *gateway.Request, reply gateway.Reply) {
 			g.Drain()
 			g.Serve(context.Background(), sent, reply)
 		}, 503, gateway.StepRefused, gateway.ReasonStopping},
 		{"its body is too large", func(g *gateway.Gateway, sent *gateway.Request, reply gateway.Reply) {
 			g.Refuse(sent, reply, 413, gateway.ReasonBodyTooLarge)
 		}, 413, gateway.StepRefused, gateway.ReasonBodyTooLarge},
-		{"its client left within the body", func(g *gateway.Gateway, sent *gateway.Request, reply gateway.Reply) {
+		{"its client disconnects within the body", func(g *gateway.Gateway, sent *gateway.Request, reply gateway.Reply) {
 			g.NotRead(sent, reply)
 		}, 0, gateway.StepEnded, gateway.ReasonClientGone},
-		{"the daemon ended within the body", func(g *gateway.Gateway, sent *gateway.Request, reply gateway.Reply) {
+		{"the daemon stops within the body", func(g *gateway.Gateway, sent *gateway.Request, reply gateway.Reply) {
 			g.End()
 			g.NotRead(sent, reply)
 		}, 503, gateway.StepRefused, gateway.ReasonStopping},
@@ -42,7 +42,7 @@
 				t.Errorf("status %d, aborted %t, %d attempts", got.status, got.aborted, len(upstream.sent))
 			}
 			if len(observer.events) != 1 || observer.events[0].Step != c.step || observer.events[0].Reason != c.reason {
-				t.Errorf("told %+v", observer.events)
+				t.Errorf("events %+v", observer.events)
 			}
 		})
 	}
--- a/gateway/room.go
+++ b/gateway/room.go
@@ -6,10 +6,11 @@
 	"github.com/wheatweir/wheatweir/balance"
 )
 
-// mostFull is how many instances without room are passed over in one look: the first ones chosen have the most.
-const mostFull = 4
+// maxFullInstances is the number of instances without room after which a search ends: those chosen first have the most
+// room.
+const maxFullInstances = 4
 
-// hasRoom reports whether an instance may get the request, as far as its room goes.
+// hasRoom reports whether an instance has room for the request, as its notices tell.
 func (e *exchange) hasRoom(candidate *balance.Candidate) bool {
 	notices := e.gateway.settings.Notices
 	if notices == nil {
@@ -18,15 +19,15 @@
 	return notices.HasRoom(candidate.Instance, candidate.Load.Requests)
 }
 
-// turnedAway notes that an instance did not run the request, for want of room as far as its answer shows.
-func (e *exchange) turnedAway(id string) {
+// reportNoRoom records that an instance declined the request, presumably for lack of room.
+func (e *exchange) reportNoRoom(id string) {
 	instance := e.gateway.view.Load().Instance(id)
 	if notices := e.gateway.settings.Notices; notices != nil && instance != nil {
 		notices.TurnedAway(instance)
 	}
 }
 
-// takeSlot takes a slot of an instance for the request, and reports whether there was one.
+// takeSlot reserves a slot of an instance for the request, and reports whether the request may be sent there.
 func (e *exchange) takeSlot(ctx context.Context, candidate *balance.Candidate) bool {
 	e.giveBackSlot()
 	notices := e.gateway.settings.Notices
@@ -35,15 +36,15 @@
 	}
 	slot := notices.TakeSlot(ctx, candidate.Instance, candidate.Load.Requests)
 	if slot == SlotTaken {
-		e.slotAt = candidate.Instance
+		e.slotInstance = candidate.Instance
 	}
 	return slot != SlotDenied
 }
 
-// giveBackSlot gives back the slot that the request has, if any.
+// giveBackSlot releases the slot that the request holds, if any.
 func (e *exchange) giveBackSlot() {
-	if e.slotAt != nil {
-		e.gateway.settings.Notices.GiveBackSlot(e.slotAt)
-		e.slotAt = nil
+	if e.slotInstance != nil {
+		e.gateway.settings.Notices.GiveBackSlot(e.slotInstance)
+		e.slotInstance = nil
 	}
 }
--- a/gateway/shortage.go
+++ b/gateway/shortage.go
@@ -7,59 +7,60 @@
 )
 
 const (
-	// shortageRest is how long without a refusal ends a shortage. Daemons see a part of the
-	// requests for a model each, so a pause of some hundred milliseconds says nothing.
-	shortageRest = time.Second
-	// longestReturn bounds when a client is told to come back. A load from the weight store
-	// takes some seconds; clients honour no more than a part of their patience anyway.
-	longestReturn = 3 * time.Second
-	// returnSpread is the part by which the time to come back differs from client to client,
-	// so that those who were refused together do not return together.
-	returnSpread = 0.5
+	// shortageTTL is the time without a refusal after which a shortage has ended. Each daemon receives only a
+	// part of the requests for a model, so a pause of some hundred milliseconds does not show an end.
+	shortageTTL = time.Second
+	// maxRetryAfter bounds the retry delay that a client is given. Loading a model from the weight store takes
+	// some seconds, and clients honour a delay only up to a part of their own timeout anyway.
+	maxRetryAfter = 3 * time.Second
+	// retryAfterSpread is the share of the retry delay that is randomized, so that clients that were refused
+	// together do not retry together.
+	retryAfterSpread = 0.5
 )
 
-// tenantShortage marks the shortage of a tenant that has used its limit up, among those of
+// tenantKeyPrefix distinguishes the key of a tenant that has used up its limit from the keys of
 // models.
-const tenantShortage = "tenant "
+const tenantKeyPrefix = "tenant "
 
-// shortage is a time in which requests for a model, or of a tenant, are refused.
+// shortage is a period in which requests for a model, or of a tenant, are refused.
 type shortage struct{ since, last time.Time }
 
-// shortages are the models that are short of capacity now, and the tenants without any left. Safe for concurrent use.
-type shortages struct {
+// shortageTracker tracks the models that lack capacity now, and the tenants that have used up their limit. It is safe
+// for concurrent use.
+type shortageTracker struct {
 	mutex   sync.Mutex
 	byModel map[string]shortage
 }
 
-func newShortages() *shortages { return &shortages{byModel: map[string]shortage{}} }
+func newShortageTracker() *shortageTracker { return &shortageTracker{byModel: map[string]shortage{}} }
 
-// refused notes a refusal and returns when its client should come back. How long a shortage
-// goes on is not known; one that has lasted for a while is most likely to last as long again.
-func (s *shortages) refused(now time.Time, model string, least time.Duration) time.Duration {
+// recordRefusal records a refusal and returns the delay after which its client should retry. The remaining length of a
+// shortage is not known; the estimate is that it lasts as long again as it has lasted.
+func (s *shortageTracker) recordRefusal(now time.Time, model string, minRetryAfter time.Duration) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known, found := s.byModel[model]
-	if !found || now.Sub(known.last) > shortageRest {
-		s.forget(now)
-		known = shortage{since: now}
+	current, found := s.byModel[model]
+	if !found || now.Sub(current.last) > shortageTTL {
+		s.prune(now)
+		current = shortage{since: now}
 	}
-	known.last = now
-	s.byModel[model] = known
-	lasts := min(max(least, now.Sub(known.since)), longestReturn)
-	return time.Duration(float64(lasts) * (1 + returnSpread*(rand.Float64()-0.5)))
+	current.last = now
+	s.byModel[model] = current
+	remaining := min(max(minRetryAfter, now.Sub(current.since)), maxRetryAfter)
+	return time.Duration(float64(remaining) * (1 + retryAfterSpread*(rand.Float64()-0.5)))
 }
 
-// forget drops shortages that have ended.
-func (s *shortages) forget(now time.Time) {
-	for model, known := range s.byModel {
-		if now.Sub(known.last) > shortageRest {
+// prune removes shortages that have ended.
+func (s *shortageTracker) prune(now time.Time) {
+	for model, current := range s.byModel {
+		if now.Sub(current.last) > shortageTTL {
 			delete(s.byModel, model)
 		}
 	}
 }
 
-// lacksCapacity reports whether a request for a model that has not run is refused because its model has no replica, or
-// none that begins in time.
+// lacksCapacity reports whether a request that has not run is refused because its model has no replica, or none that
+// is predicted to begin the answer in time.
 func (e *exchange) lacksCapacity(reason Reason) bool {
 	if e.request.Model == "" || e.mayHaveRun {
 		return false
--- a/gateway/types.go
+++ b/gateway/types.go
@@ -1,7 +1,8 @@
-// Package gateway is the path of one request from a client to a back-end
-// instance and back. It chooses the route and the instance, hands on what is
-// left of the deadline, repeats what may be repeated, resumes streams, and gives
-// up in time. The wire forms on both sides belong to other packages.
+// Package gateway forwards requests from clients to back-end instances and
+// returns the answers. It selects the route and the instance, passes on the
+// remaining deadline, retries requests that may be repeated, resumes streams,
+// and refuses requests that cannot be answered in time. Other packages implement
+// the protocols on both sides.
 package gateway
 
 import (
@@ -15,20 +16,20 @@
 	"github.com/wheatweir/wheatweir/tenant"
 )
 
-// Classes of errors of an Upstream.
+// Classes of errors that an Upstream returns.
 var (
-	// ErrNotSent means that no byte of the request reached the instance.
+	// ErrNotSent means that no byte of the request was sent to the instance.
 	ErrNotSent = errs.Class("gateway: not sent")
 	// ErrUnknown means that the instance may have run the request.
 	ErrUnknown = errs.Class("gateway: unknown outcome")
-	// ErrNoConnection means that all connections that this daemon may have to the instance
-	// are in use. It says nothing about the instance.
+	// ErrNoConnection means that all connections which this daemon may have to the instance
+	// are in use. It does not count against the instance.
 	ErrNoConnection = errs.Class("gateway: no connection")
-	// ErrBarred means that the instance must not get the request any more, as Outbound.MayReach said.
+	// ErrBarred means that Outbound.MayReach no longer allowed the request to be sent to the instance.
 	ErrBarred = errs.Class("gateway: barred")
 )
 
-// Field is one header field. The name is as it was received.
+// Field is one header field. Name has the spelling in which it was received.
 type Field struct {
 	Name  string
 	Value string
@@ -40,19 +41,19 @@
 	Tokens int
 }
 
-// Request is one request of a client. All but the typed fields is opaque.
+// Request is one request of a client. The gateway does not interpret its header and body.
 type Request struct {
 	ID     string
 	Method string
-	// URI is the request target as received: path and query.
+	// URI is the request target as received, with path and query.
 	URI string
-	// Host is the host as received.
+	// Host is the host as received, RouteHost the one that routes match.
 	Host string
-	// RouteHost is the host in lower case without a port, Path the target
+	// RouteHost is the host in lower case without a port, Path the request target
 	// without its query.
 	RouteHost string
 	Path      string
-	// Header holds the end-to-end fields in the order received.
+	// Header holds the end-to-end fields in the order in which they were received.
 	Header []Field
 	Body   []byte
 
@@ -60,18 +61,18 @@
 	Adapter      string
 	PromptTokens int
 	OutputTokens int
-	// TokensTold says that the client named the two numbers of tokens.
+	// TokensTold is true if the client stated PromptTokens and OutputTokens.
 	TokensTold bool
-	// Key is the digest of the client's key; the zero value if it gave none.
+	// Key is the digest of the client's API key; the zero value if it sent none.
 	Key    tenant.Digest
 	Prompt []PromptPart
-	// ResumeAfter is the last event that the client has, or empty.
+	// ResumeAfter is the ID of the last event that the client received, or empty.
 	ResumeAfter string
-	// Resumes is the ID of the request that brought the first event of the stream which this one takes up, or empty.
+	// Resumes is the ID of the request that received the first event of the stream which this request resumes, or empty.
 	Resumes string
 
 	Arrived time.Time
-	// Patience is how long the client waits; zero if it did not say.
+	// Patience is the timeout of the client; zero if it stated none.
 	Patience time.Duration
 }
 
@@ -79,24 +80,25 @@
 type Outbound struct {
 	Request  *Request
 	Instance *fleet.Instance
-	// Left is what the instance may take.
+	// Left is the time that the instance may use.
 	Left time.Duration
-	// Priority is the rank at the instance: zero is admitted first.
+	// Priority is the priority at the instance; zero is admitted first.
 	Priority int
 	// Tenant is the name of the request's tenant, or empty.
 	Tenant string
-	// ResumeAfter is the last event that the client has, or empty.
+	// ResumeAfter is the ID of the last event that the client received, or empty.
 	ResumeAfter string
-	// MaxConnections bounds the connections to the instance from here.
+	// MaxConnections bounds the connections from this daemon to the instance; zero means no limit.
 	MaxConnections int
-	// MayReach is asked once there is a connection, just before the first byte; nil means that it may.
+	// MayReach is called once there is a connection, just before the first byte is sent. It reports whether the request
+	// may still be sent; nil means that it may.
 	MayReach func() bool
 }
 
-// Framing is how an answer tells where its body ends.
+// Framing is the way in which an answer marks the end of its body.
 type Framing string
 
-// Framings. A body without a length or chunks ends with its connection.
+// Framings of HTTP bodies. A body without a length or chunks ends with its connection.
 const (
 	FramedByLength     Framing = "length"
 	FramedByChunks     Framing = "chunks"
@@ -105,45 +107,45 @@
 
 // Response is the answer of an instance whose body may still be arriving.
 type Response interface {
-	// Status is the HTTP status.
+	// Status returns the HTTP status.
 	Status() int
-	// Header returns the end-to-end fields.
+	// Header returns the end-to-end header fields.
 	Header() []Field
-	// Length is the length of the body, or -1 if it is not known yet.
+	// Length returns the length of the body in bytes, or -1 if it is not known yet.
 	Length() int64
-	// Framing is how the body is framed.
+	// Framing returns how the body is framed.
 	Framing() Framing
-	// Executed is false if the instance said that it did not run the request.
+	// Executed returns false if the instance stated that it did not run the request.
 	Executed() bool
-	// Misdirected says that the instance is another one, or lacks the model.
+	// Misdirected reports whether the instance is not the intended one, or lacks the model.
 	Misdirected() bool
-	// Signed says that the answer carries the mark of a genuine instance.
+	// Signed reports whether the answer carries the signature header of a genuine instance.
 	Signed() bool
 	// Read returns io.EOF only after the whole body.
 	io.Reader
-	// Close releases the answer. One that was not read to its end is broken off.
+	// Close releases the answer. An answer that was not read to its end is aborted.
 	Close()
 }
 
-// Upstream sends requests to instances. It never repeats one by itself.
+// Upstream sends requests to instances. It never retries a request by itself.
 type Upstream interface {
-	// Send returns when the head of the answer has arrived. The answer is broken
-	// off when ctx ends.
+	// Send returns when the head of the answer has arrived. The answer is aborted
+	// when ctx ends.
 	Send(ctx context.Context, outbound *Outbound) (Response, error)
-	// HasConnection reports whether there is an unused connection to an instance, or room
-	// for a new one among the most that are allowed; zero means no bound.
-	HasConnection(instance string, most int) bool
+	// HasConnection reports whether there is an idle connection to an instance, or whether a
+	// new one may be opened under the maximum; a maximum of zero means no limit.
+	HasConnection(instance string, maximum int) bool
 }
 
-// Reply is the client's side of one request.
+// Reply writes the answer of one request to its client.
 type Reply interface {
-	// Begin sends the head. Length is -1 if it is not known.
+	// Begin sends the head of the answer. Length is -1 if it is not known.
 	Begin(status int, header []Field, length int64) error
-	// Write sends a piece of the body at once.
+	// Write sends a piece of the body without buffering it.
 	Write(piece []byte) error
-	// Refuse sends an answer of our own. RetryAfter is when to come back; zero
-	// says nothing.
+	// Refuse sends an error answer. RetryAfter is the delay that the client is
+	// given; none is given if it is zero.
 	Refuse(status int, reason Reason, retryAfter time.Duration)
-	// Abort breaks the answer off so that it looks broken to the client.
+	// Abort ends the answer in such a way that the client sees it as incomplete.
 	Abort()
 }
--- a/gateway/wait.go
+++ b/gateway/wait.go
@@ -8,53 +8,54 @@
 	"github.com/wheatweir/wheatweir/fleet"
 )
 
-// connectionPause is the pause between two looks for a connection. One that comes free is taken
-// by whoever looks first: with a pause that grows to 80 ms, 2 or 3 of 510 requests of a load of
-// 0.83 behind a burst of ten found none in time, with this one none or one.
-const connectionPause = 20 * time.Millisecond
+// connectionPollInterval is the interval between two searches for a connection. A freed connection goes to the
+// request that searches first. With an interval that grows to 80 ms, 2 or 3 of 510 requests, at a load of 0.83
+// behind a burst of ten, got no connection in time; with this interval, none or one.
+const connectionPollInterval = 20 * time.Millisecond
 
-// roomPause is the pause between two looks for room.
-const roomPause = 10 * time.Millisecond
+// roomPollInterval is the interval between two searches for an instance with room.
+const roomPollInterval = 10 * time.Millisecond
 
 const (
-	// crowdedPause is the pause between two looks for an instance with fewer
-	// prompts to read.
-	crowdedPause = 5 * time.Millisecond
-	// longestCrowdedPause bounds that pause, which grows while a request waits.
-	longestCrowdedPause = 20 * time.Millisecond
+	// minCrowdedDelay is the first delay between two searches while all instances
+	// are crowded.
+	minCrowdedDelay = 5 * time.Millisecond
+	// maxCrowdedDelay bounds that delay, which doubles with each search.
+	maxCrowdedDelay = 20 * time.Millisecond
 )
 
 const (
-	// restPause is the least pause of a request that waits for the end of a rest.
-	restPause = time.Millisecond
-	// restSpread is the time over which requests that have waited for it come back.
-	restSpread = 100 * time.Millisecond
+	// minBackoffDelay is added to the wait for the end of a backoff that an instance requested, and is so its minimum.
+	minBackoffDelay = time.Millisecond
+	// backoffEndSpread is the window over which the requests that waited for it search again.
+	backoffEndSpread = 100 * time.Millisecond
 )
 
 // candidateWait is the wait of a request for an instance.
 type candidateWait struct {
 	exchange *exchange
-	// paced is the next pause while all instances have much to do.
-	paced time.Duration
-	// lacksConnection says that the last look found no free connection.
+	// nextDelay is the next delay while all instances are crowded.
+	nextDelay time.Duration
+	// lacksConnection is true if the last search found no free connection.
 	lacksConnection bool
-	// served ends what the placement was told of this request; nil if it was told nothing.
-	served func()
+	// withdrawDemand withdraws the demand that was reported for this request; nil if none was reported.
+	withdrawDemand func()
 }
 
+// end withdraws the demand that the wait reported, if any.
 func (w *candidateWait) end() {
-	if w.served != nil {
-		w.served()
+	if w.withdrawDemand != nil {
+		w.withdrawDemand()
 	}
 }
 
-// pace waits a little while all instances have much to do.
-func (w *candidateWait) pace(ctx context.Context) {
+// delayWhileCrowded delays the next search because all instances are crowded.
+func (w *candidateWait) delayWhileCrowded(ctx context.Context) {
 	w.lacksConnection = false
 	w.exchange.phase = PhasePaced
 	w.exchange.observeOnce(StepPaced, "")
-	sleep(ctx, w.paced)
-	w.paced = min(2*w.paced, longestCrowdedPause)
+	sleep(ctx, w.nextDelay)
+	w.nextDelay = min(2*w.nextDelay, maxCrowdedDelay)
 }
 
 // yield waits for more urgent requests.
@@ -63,59 +64,60 @@
 	w.exchange.awaitRoom(ctx)
 }
 
-// forChange waits until there may be an instance that can take the request. It returns why there
-// is none, and whether it makes sense to look again. The placement hears of models and adapters
-// that no instance has.
-func (w *candidateWait) forChange(ctx context.Context, view *fleet.View, changed <-chan struct{}) (reason Reason, again bool) {
+// awaitChange waits until there may be an instance that can take the request. It returns why there is none, and
+// whether to search again. Models and adapters that no instance has loaded are reported to the placement.
+func (w *candidateWait) awaitChange(ctx context.Context, view *fleet.View, changed <-chan struct{}) (reason Reason, again bool) {
 	w.lacksConnection = false
 	e := w.exchange
-	if e.request.Model != "" && w.served == nil {
-		w.served = w.lacking()
+	if e.request.Model != "" && w.withdrawDemand == nil {
+		w.withdrawDemand = w.reportDemand()
 	}
-	reason = e.lack(view)
-	return reason, w.pause(ctx, reason, lookPause, changed)
+	reason = e.lackReason(view)
+	return reason, w.waitFor(ctx, reason, lookPause, changed)
 }
 
-// lacking tells the placement what the request waits for. The function tells it that the wait is over.
-func (w *candidateWait) lacking() func() {
+// reportDemand reports to the placement what the request waits for. The returned function withdraws the report.
+func (w *candidateWait) reportDemand() func() {
 	e := w.exchange
-	served := e.gateway.demand.Lacking(e.service, e.request.Model, e.request.Adapter)
+	withdrawModel := e.gateway.demand.Lacking(e.service, e.request.Model, e.request.Adapter)
 	if !e.origin.pinned {
-		return served
+		return withdrawModel
 	}
-	servedThere := e.gateway.demand.LackingSoftware(e.service, e.request.Model, e.origin.software)
+	withdrawSoftware := e.gateway.demand.LackingSoftware(e.service, e.request.Model, e.origin.software)
 	return func() {
-		served()
-		servedThere()
+		withdrawModel()
+		withdrawSoftware()
 	}
 }
 
-// forConnection waits for a connection. It reports whether the request may still wait.
-func (w *candidateWait) forConnection(ctx context.Context) bool {
+// awaitConnection waits for a connection. It reports whether the request may search again.
+func (w *candidateWait) awaitConnection(ctx context.Context) bool {
 	w.lacksConnection = true
-	return w.pause(ctx, ReasonNoConnection, connectionPause, nil)
+	return w.waitFor(ctx, ReasonNoConnection, connectionPollInterval, nil)
 }
 
-// forRoom waits a little for room at an instance. It reports whether the request may still wait: no longer than for
-// instances that have much to do.
-func (w *candidateWait) forRoom(ctx context.Context) bool {
+// awaitCapacity waits a short time for room at an instance. It reports whether the request may search again: it waits no
+// longer for room than for crowded instances.
+func (w *candidateWait) awaitCapacity(ctx context.Context) bool {
 	w.lacksConnection = false
 	e := w.exchange
-	return e.waited() <= crowdedWait && w.pause(ctx, ReasonOverloaded, roomPause, nil)
+	return e.waitedShare() <= maxCrowdedWaitShare && w.waitFor(ctx, ReasonOverloaded, roomPollInterval, nil)
 }
 
-// forRest waits until a rest ends that all instances want which could take the request. It reports whether the
-// request may wait so long; if not, that is known at once.
-func (w *candidateWait) forRest(ctx context.Context, until time.Time) bool {
+// awaitBackoffEnd waits until the first backoff ends, since all instances that could take the request have asked this
+// daemon to send nothing for a while. It reports whether to search again, and returns at once if the backoff
+// outlasts the request's wait.
+func (w *candidateWait) awaitBackoffEnd(ctx context.Context, until time.Time) bool {
 	w.lacksConnection = false
 	e := w.exchange
 	left := max(0, e.until(until))
 	e.comeBack = left
-	return left <= e.until(e.waitUntil) && w.pause(ctx, ReasonResting, left+restPause+rand.N(restSpread), nil)
+	return left <= e.until(e.waitUntil) && w.waitFor(ctx, ReasonResting, left+minBackoffDelay+rand.N(backoffEndSpread), nil)
 }
 
-// pause waits for a signal, for a while at most. It reports whether the request may still wait.
-func (w *candidateWait) pause(ctx context.Context, reason Reason, span time.Duration, signal <-chan struct{}) bool {
+// waitFor waits for a signal, at most for a duration and the rest of the request's wait. It reports whether to search
+// again. A request that was sent before does not wait.
+func (w *candidateWait) waitFor(ctx context.Context, reason Reason, duration time.Duration, signal <-chan struct{}) bool {
 	e := w.exchange
 	left := e.until(e.waitUntil)
 	if len(e.sentTo) > 0 || left <= 0 {
@@ -124,7 +126,7 @@
 	e.leaveLine()
 	e.phase = PhaseWaiting
 	e.observeOnce(StepWaiting, reason)
-	timer := time.NewTimer(min(span, left))
+	timer := time.NewTimer(min(duration, left))
 	defer timer.Stop()
 	select {
 	case <-signal:
--- a/gateway/yield.go
+++ b/gateway/yield.go
@@ -8,37 +8,37 @@
 )
 
 const (
-	// yieldReserve is the part of the target latency that a request that yields keeps: the forecast may be wrong, and
-	// more urgent requests may reach the server after it.
-	yieldReserve = 0.25
-	// yieldPause is the pause between two looks of a request that yields: a place in a batch stays free for no longer
-	// than that.
-	yieldPause = 20 * time.Millisecond
-	// lateShare is the least part of the target latency that a forecast has to reach before a
-	// request is refused for it. One that has waited here for other reasons, and finds an instance
-	// that answers soon, is served although it is late.
-	lateShare = 0.5
+	// yieldReserveShare is the share of the target latency that a yielding request keeps in reserve: the forecast may be
+	// wrong, and more urgent requests may reach the instance after it.
+	yieldReserveShare = 0.25
+	// yieldPollInterval is the interval between two searches of a yielding request, and so the longest time that a place
+	// in a batch stays free.
+	yieldPollInterval = 20 * time.Millisecond
+	// minLateForecastShare is the share of the target latency that a forecast must exceed before a request is
+	// refused as too late. A request that has waited here for other reasons is served late if its instance
+	// answers soon.
+	minLateForecastShare = 0.5
 )
 
-// yieldInput is what the decision on a background request depends on.
+// yieldInput holds the values that the decision on a background request depends on.
 type yieldInput struct {
-	// Priority is the rank of the request; zero is the highest.
+	// Priority is the priority of the request; zero is the most urgent.
 	Priority int
-	// Target is the target latency, and Waited the part of it that has passed.
+	// Target is the target latency, and Waited the time since the arrival of the request.
 	Target time.Duration
 	Waited time.Duration
-	// WaitLeft is how long the request may still wait for other reasons.
+	// WaitLeft is the time for which the request may still wait for any instance.
 	WaitLeft time.Duration
-	// Forecast is the predicted time of the first token after the request is sent; zero if there is none.
+	// Forecast is the predicted time from sending to the first token; zero if there is no prediction.
 	Forecast time.Duration
-	// Load is what the best server has to do, and Slots its places; zero if they are not known.
+	// Load is the load of the best instance, and Slots the size of its batch; zero if they are not known.
 	Load  balance.Load
 	Slots int
-	// Crowded says that the server has more prompts to read than the limit for the request's priority.
+	// Crowded is true if the instance has more unread prompt tokens than the limit for the request's priority.
 	Crowded bool
 }
 
-// yieldAction is what happens to a background request next.
+// yieldAction is the next action for a background request.
 type yieldAction uint8
 
 const (
@@ -53,13 +53,13 @@
 // yieldDecision is the decision on a background request.
 type yieldDecision struct {
 	Action yieldAction
-	// Slack is how long the request may still wait; zero if it may not.
+	// Slack is the time for which the request may still wait; zero if it may not wait.
 	Slack time.Duration
-	// Next is when to look again; zero unless the request waits.
+	// Next is the delay before the next decision; zero unless the request waits.
 	Next time.Duration
 }
 
-// decideYield decides whether a background request waits while its server is busy with others.
+// decideYield decides whether a background request waits while its instance is busy with other requests.
 func decideYield(in yieldInput) yieldDecision {
 	if beginsTooLate(in.Target, in.Waited, in.Forecast) {
 		return yieldDecision{Action: yieldTooLate}
@@ -68,27 +68,27 @@
 	if in.Priority < fleet.BackgroundPriority || !in.busy() || slack == 0 {
 		return yieldDecision{Action: yieldSend, Slack: slack}
 	}
-	return yieldDecision{Action: yieldHold, Slack: slack, Next: min(slack, yieldPause)}
+	return yieldDecision{Action: yieldHold, Slack: slack, Next: min(slack, yieldPollInterval)}
 }
 
-// slack is what is left of the target beyond the forecast, the reserve and the time waited.
+// slack returns the target less the forecast, the reserve and the time waited.
 func (in *yieldInput) slack() time.Duration {
 	return in.Target - in.Forecast - yieldReserveOf(in.Target) - in.Waited
 }
 
-// yieldReserveOf is the part of a target that a request keeps.
+// yieldReserveOf returns the reserve of a yielding request for a target latency.
 func yieldReserveOf(target time.Duration) time.Duration {
-	return time.Duration(yieldReserve * float64(target))
+	return time.Duration(yieldReserveShare * float64(target))
 }
 
-// busy reports whether the request would take a place from a more urgent one, or hold up streams.
+// busy reports whether the request would take a place from a more urgent one, or delay running streams.
 func (in *yieldInput) busy() bool {
 	full := in.Slots > 0 && in.Load.Requests >= in.Slots
 	return full || in.Crowded
 }
 
-// beginsTooLate reports whether the first token would come too late by a forecast.
+// beginsTooLate reports whether the first token is predicted to be too late for the target.
 func beginsTooLate(target, waited, forecast time.Duration) bool {
-	least := time.Duration(lateShare * float64(target))
+	least := time.Duration(minLateForecastShare * float64(target))
 	return forecast > max(target-waited, least)
 }
--- a/gateway/yield_test.go
+++ b/gateway/yield_test.go
@@ -10,8 +10,8 @@
 	_ "github.com/wheatweir/wheatweir/internal/fixedseed"
 )
 
-// TestDecideYield guards against a background request that takes a place from urgent ones while it has time, or waits
-// although it has none.
+// TestDecideYield guards against a background request that takes a place from urgent ones while it has slack, or waits
+// without slack.
 func TestDecideYield(t *testing.T) {
 	const target, long = 4 * time.Second, time.Minute
 	full, free := balance.Load{Requests: 4}, balance.Load{Requests: 3}
@@ -23,11 +23,11 @@
 		{"a free place", yieldInput{Priority: 2, Target: target, WaitLeft: long, Load: free, Slots: 4},
 			yieldDecision{yieldSend, 3 * time.Second, 0}},
 		{"a full batch", yieldInput{Priority: 2, Target: target, WaitLeft: long, Load: full, Slots: 4},
-			yieldDecision{yieldHold, 3 * time.Second, yieldPause}},
+			yieldDecision{yieldHold, 3 * time.Second, yieldPollInterval}},
 		{"a full batch and a forecast", yieldInput{Priority: 2, Target: target, Forecast: time.Second, Waited: time.Second, WaitLeft: long, Load: full, Slots: 4},
-			yieldDecision{yieldHold, time.Second, yieldPause}},
+			yieldDecision{yieldHold, time.Second, yieldPollInterval}},
 		{"prompts to read", yieldInput{Priority: 2, Target: target, WaitLeft: long, Load: free, Slots: 4, Crowded: true},
-			yieldDecision{yieldHold, 3 * time.Second, yieldPause}},
+			yieldDecision{yieldHold, 3 * time.Second, yieldPollInterval}},
 		{"the number of places is not known", yieldInput{Priority: 2, Target: target, WaitLeft: long, Load: full},
 			yieldDecision{yieldSend, 3 * time.Second, 0}},
 		{"an urgent request", yieldInput{Priority: 1, Target: target, WaitLeft: long, Load: full, Slots: 4},
@@ -40,7 +40,7 @@
 			yieldDecision{yieldSend, 0, 0}},
 		{"it may wait no longer for another reason", yieldInput{Priority: 2, Target: target, WaitLeft: 5 * time.Millisecond, Load: full, Slots: 4},
 			yieldDecision{yieldHold, 5 * time.Millisecond, 5 * time.Millisecond}},
-		{"that time has passed", yieldInput{Priority: 2, Target: target, WaitLeft: -time.Second, Load: full, Slots: 4},
+		{"the wait for other reasons has ended", yieldInput{Priority: 2, Target: target, WaitLeft: -time.Second, Load: full, Slots: 4},
 			yieldDecision{yieldSend, 0, 0}},
 		{"too late from the start", yieldInput{Priority: 2, Target: target, Forecast: target + time.Millisecond, WaitLeft: long, Load: full, Slots: 4},
 			yieldDecision{yieldTooLate, 0, 0}},
@@ -56,17 +56,17 @@
 	}
 }
 
-// TestNoYieldGoesOnBeyondTheSlack guards against a wait, for any load, that leaves less than the forecast and the
-// reserve of the target, or that is not looked at again soon.
+// TestNoYieldGoesOnBeyondTheSlack guards against a wait, for any load, that leaves less of the target than the forecast
+// and the reserve, or after which the next decision is late.
 func TestNoYieldGoesOnBeyondTheSlack(t *testing.T) {
-	span := func(most time.Duration) *rapid.Generator[time.Duration] {
-		return rapid.Map(rapid.Int64Range(0, int64(most)), func(n int64) time.Duration { return time.Duration(n) })
+	durationUpTo := func(maximum time.Duration) *rapid.Generator[time.Duration] {
+		return rapid.Map(rapid.Int64Range(0, int64(maximum)), func(n int64) time.Duration { return time.Duration(n) })
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		in := yieldInput{
-			Priority: rapid.IntRange(0, 9).Draw(t, "priority"), Target: span(time.Minute).Draw(t, "target"),
-			Waited: span(time.Minute).Draw(t, "waited"), WaitLeft: span(time.Minute).Draw(t, "left") - time.Second,
-			Forecast: span(time.Minute).Draw(t, "forecast"), Slots: rapid.IntRange(0, 8).Draw(t, "slots"),
+			Priority: rapid.IntRange(0, 9).Draw(t, "priority"), Target: durationUpTo(time.Minute).Draw(t, "target"),
+			Waited: durationUpTo(time.Minute).Draw(t, "waited"), WaitLeft: durationUpTo(time.Minute).Draw(t, "left") - time.Second,
+			Forecast: durationUpTo(time.Minute).Draw(t, "forecast"), Slots: rapid.IntRange(0, 8).Draw(t, "slots"),
 			Load: balance.Load{Requests: rapid.IntRange(0, 16).Draw(t, "requests")}, Crowded: rapid.Bool().Draw(t, "crowded"),
 		}
 		got := decideYield(in)
@@ -76,8 +76,8 @@
 		if got.Action != yieldHold {
 			return
 		}
-		if got.Next <= 0 || got.Next > min(got.Slack, yieldPause) || got.Slack > in.WaitLeft {
-			t.Errorf("slack %v, next look after %v, may wait for %v", got.Slack, got.Next, in.WaitLeft)
+		if got.Next <= 0 || got.Next > min(got.Slack, yieldPollInterval) || got.Slack > in.WaitLeft {
+			t.Errorf("slack %v, next decision after %v, may wait for %v", got.Slack, got.Next, in.WaitLeft)
 		}
 		if end := in.Waited + got.Slack + in.Forecast; end > in.Target-in.Target/4+time.Nanosecond {
 			t.Errorf("begins %v after its arrival, for a target of %v", end, in.Target)
