--- a/gateway/answertiming.go
+++ b/gateway/answertiming.go
@@ -19,10 +19,10 @@
 	if e.startedAt.IsZero() {
 		return
 	}
-	ran := e.since(e.startedAt)
-	e.gateway.tracker.Run(candidate, ran)
+	runTime := e.since(e.startedAt)
+	e.gateway.tracker.Run(candidate, runTime)
 	if !e.mayBePartialRun() {
-		e.gateway.tracker.Generated(candidate, e.request.OutputTokens, ran)
+		e.gateway.tracker.Generated(candidate, e.request.OutputTokens, runTime)
 	}
 }
 
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -325,11 +325,11 @@
 	id := instance.ID
 	if ErrNotSent.Has(err) {
 		outcome := balance.Unreached
-		ownReason := ErrNoConnection.Has(err) || ErrBarred.Has(err)
-		if ctx.Err() != nil || ownReason {
+		localCause := ErrNoConnection.Has(err) || ErrBarred.Has(err)
+		if ctx.Err() != nil || localCause {
 			outcome = balance.Abandoned
 		}
-		if !ownReason {
+		if !localCause {
 			e.recordUnreached(id)
 		}
 		e.end(id, outcome)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -115,7 +115,7 @@
 	Choose(ctx context.Context, view *fleet.View, service string, request *balance.Request) *balance.Candidate
 }
 
-// localChooser selects instances by the load that this daemon knows of.
+// localChooser selects instances by the load that is recorded at this daemon.
 type localChooser struct{ picker *balance.Picker }
 
 // Choose implements Chooser.
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -114,9 +114,9 @@
 // in virtual time, at the earlier of the client's deadline and the route's timeout.
 func TestTimeLimits(t *testing.T) {
 	cases := []struct {
-		name     string
-		patience time.Duration
-		want     time.Duration
+		name    string
+		timeout time.Duration
+		want    time.Duration
 	}{
 		{"the route's limit", 0, 5 * time.Second},
 		{"the client's deadline", 2 * time.Second, 2 * time.Second},
@@ -129,7 +129,7 @@
 				g := newGateway(upstream, &noDemand{})
 				g.SetView(view())
 				sent := request("unsafe")
-				sent.Patience = c.patience
+				sent.Patience = c.timeout
 				got := &client{}
 				g.Serve(context.Background(), sent, got)
 				if took := got.at.Sub(sent.Arrived); got.status != 504 || took != c.want {
--- a/gateway/room.go
+++ b/gateway/room.go
@@ -10,7 +10,7 @@
 // room.
 const maxFullInstances = 4
 
-// hasRoom reports whether an instance has room for the request, as its notices tell.
+// hasRoom reports whether an instance has room for the request, according to its notices.
 func (e *exchange) hasRoom(candidate *balance.Candidate) bool {
 	notices := e.gateway.settings.Notices
 	if notices == nil {
