--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -14,7 +14,7 @@
 
 const (
 	// missingModelTTL is how long an instance gets no requests for a model or
-	// adapter that it has reported as not loaded.
+	// adapter that it turned out to lack.
 	missingModelTTL = 300 * time.Millisecond
 	// maxWhole is the size in bytes up to which an answer is buffered whole before it is forwarded.
 	maxWhole = 1 << 20
@@ -51,7 +51,7 @@
 	// comeBack is the time until a turn may be available, or until an instance's requested backoff ends.
 	comeBack time.Duration
 	// judgedBy holds the digests that the quarantine matches, or nil until they are needed. heldFor is the digest
-	// because of which the request is held, that is kept from all instances.
+	// for which the request is held; a held request is sent to no instance.
 	judgedBy *quarantine.Attributes
 	heldFor  quarantine.Digest
 	deadline time.Time
@@ -185,7 +185,8 @@
 // maxUnreached is the number of unreachable instances after which a request is refused.
 const maxUnreached = 3
 
-// mayRetry reports whether the request may be sent to another instance. It takes from the retry budget.
+// mayRetry reports whether another instance may be tried. A retry of a request that was sent takes from the retry
+// budget.
 func (e *exchange) mayRetry(last verdict) bool {
 	if last == verdictUnreached {
 		return len(e.passed) < maxUnreached
--- a/gateway/wait.go
+++ b/gateway/wait.go
@@ -25,7 +25,8 @@
 )
 
 const (
-	// minBackoffDelay is added to the wait for the end of a backoff that an instance requested, and is so its minimum.
+	// minBackoffDelay is the minimum wait for the end of a backoff that an instance requested. It is added to the
+	// time left.
 	minBackoffDelay = time.Millisecond
 	// backoffEndSpread is the window over which the requests that waited for it search again.
 	backoffEndSpread = 100 * time.Millisecond
