--- a/lease/era.go
+++ b/lease/era.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// EraLearned takes in an era of the store. With a newer one the store has come back from a copy, and the
-// record that is known may be gone. A holder whose term runs writes its own again. For a term nobody else
-// takes the lease, whatever the copy says of it: until then the term of a holder of before is over.
+// EraLearned records an era of the store. A newer era means that the store was restored from a copy,
+// and the known record may be gone. A holder whose term has not ended writes its own record again.
+// Nobody else takes over the lease for a term, whatever record the copy shows. By then the term of any
+// earlier holder has ended.
 func (l *Lease) EraLearned(now time.Time, era uint64) {
 	if l.eraKnown && era <= l.era {
 		return
@@ -15,23 +16,22 @@
 		l.writtenEra = era
 		return
 	}
-	l.stored, l.known, l.unchanged = Stored{}, false, time.Time{}
-	l.closedUntil = now.Add(l.settings.Term)
+	l.stored, l.known, l.unchangedSince = Stored{}, false, time.Time{}
+	l.noTakeoverUntil = now.Add(l.settings.Term)
 	if !l.Held(now) {
 		l.held = false
 	}
 }
 
-// EraAge is how long the era of the store has lasted at least, as its record of the lease tells.
+// EraAge is the minimum age of the store's era, as given by its lease record.
 func (l *Lease) EraAge() time.Duration {
-	if l.stored.none() || l.stored.At.Era != l.era || l.stored.copied() {
+	if l.stored.missing() || l.stored.At.Era != l.era || l.stored.fromCopy() {
 		return 0
 	}
 	return time.Duration(l.stored.Record.EraRenewals) * l.settings.RenewEvery
 }
 
-// predates reports whether a record, or that there is none, is of a copy from before the last write of our
-// own.
+// predates reports whether a record, or its absence, belongs to a copy made before our own last write.
 func (l *Lease) predates(stored Stored) bool {
-	return l.writtenEra < stored.At.Era && (stored.none() || stored.copied())
+	return l.writtenEra < stored.At.Era && (stored.missing() || stored.fromCopy())
 }
--- a/lease/era_test.go
+++ b/lease/era_test.go
@@ -8,9 +8,10 @@
 	"github.com/wheatweir/wheatweir/lease"
 )
 
-// TestHolderGoesOnAfterARestore covers a holder whose record the store has lost, with that of the holder
-// before it, or any record, in its place: it writes its own again within its term and keeps its token, while
-// another candidate waits. One whose term is over waits as well, and gets a token that is higher.
+// TestHolderGoesOnAfterARestore covers a holder whose record the store has lost. The store then shows
+// the record of the holder before it, another record, or none. The holder writes its own record again
+// within its term and keeps its token, while another candidate waits. A holder whose term has ended
+// waits as well, and gets a higher token.
 func TestHolderGoesOnAfterARestore(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -37,7 +38,7 @@
 					now = drive(other, s, now, 50*time.Millisecond)
 					now = drive(holder, s, now, 50*time.Millisecond)
 					if holder.lease.Held(now) && other.lease.Held(now) {
-						t.Fatal("two hold it")
+						t.Fatal("two candidates hold the lease")
 					}
 					if took == 0 && (holder.lease.Held(now) || other.lease.Held(now)) {
 						took = now.Sub(back)
@@ -46,20 +47,20 @@
 				fence, may := holder.lease.MayOrder(now)
 				switch {
 				case kept && (!may || fence != before || took > 200*time.Millisecond):
-					t.Errorf("the holder goes on after %v under %d (%v), before it was %d", took, fence, may, before)
+					t.Errorf("the holder continues after %v under token %d (may order: %v), token before: %d", took, fence, may, before)
 				case !kept && (took < term || took > term+time.Second):
-					t.Errorf("taken %v after the store was back", took)
+					t.Errorf("lease taken %v after the restore", took)
 				}
 				if next, may := other.lease.MayOrder(now); may && next <= before {
-					t.Errorf("the token %d after %d", next, before)
+					t.Errorf("token %d after token %d", next, before)
 				}
 			}
 		})
 	}
 }
 
-// TestAnswersOfAnEarlierEraAreNotAskedForInARow covers a candidate that has heard of an era before the store
-// that answers it.
+// TestAnswersOfAnEarlierEraAreNotAskedForInARow covers a candidate that has received an era which the
+// store that answers it has not reached yet. It guards against calls in quick succession.
 func TestAnswersOfAnEarlierEraAreNotAskedForInARow(t *testing.T) {
 	s, c := &store{era: 1}, newCandidate("c", 1)
 	now := time.Unix(1000, 0)
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -14,32 +14,32 @@
 
 const term = 3 * time.Second
 
-// store is the oracle: one record with conditional updates, whose answers may be
-// lost before or after the write is done. A read that may lag gets an earlier record. The store may come
-// back from a copy with an earlier record, and then gives out revisions again.
+// store is the oracle: one record with conditional updates, whose answers may be lost before or after
+// the write is done. A read that allows a stale record may get an earlier one. The store may be
+// restored from a copy with an earlier record, and then assigns the same revisions again.
 type store struct {
 	stored   lease.Stored
 	era      uint64
 	revision uint64
 	fences   map[uint64]string
-	// lags says that reads that may lag do; lagging counts them, and earlier are the records
-	// before.
+	// lags enables stale answers to reads that allow them. lagging counts these answers, and earlier
+	// holds the previous records.
 	lags    bool
 	lagging int
 	earlier []lease.Stored
 }
 
-// mostLost is how many writes a copy may be behind.
-const mostLost = 8
+// maxLostWrites is by how many writes a copy may be behind.
+const maxLostWrites = 8
 
-// mostLag is by how many records such a read lags at most.
-const mostLag = 6
+// maxLagRecords bounds the number of records by which such a read is stale.
+const maxLagRecords = 6
 
 func (s *store) call(call lease.Call) (lease.Outcome, lease.Stored) {
 	if call.Write == nil && call.MayLag && s.lags {
 		s.lagging++
 		records := append(s.earlier, s.stored)
-		return lease.OutcomeConflict, records[max(0, len(records)-1-s.lagging%mostLag)]
+		return lease.OutcomeConflict, records[max(0, len(records)-1-s.lagging%maxLagRecords)]
 	}
 	if call.Write == nil {
 		return lease.OutcomeConflict, s.stored
@@ -53,7 +53,7 @@
 	return lease.OutcomeDone, s.stored
 }
 
-// restore makes the store come back from a copy with the record that was so many writes ago.
+// restore restores the store from a copy with the record that was written a number of writes ago.
 func (s *store) restore(writes int) {
 	s.era++
 	if number := len(s.earlier) - writes; writes > 0 && number > 0 {
@@ -64,13 +64,13 @@
 	s.revision = s.stored.At.Revision
 }
 
-// candidate is one daemon with its own state and a pause.
+// candidate is one daemon with its own state, which may be paused.
 type candidate struct {
-	name    string
-	lease   *lease.Lease
-	paused  bool
-	aside   bool
-	pending *lease.Call
+	name     string
+	lease    *lease.Lease
+	paused   bool
+	yielding bool
+	pending  *lease.Call
 }
 
 func newCandidate(name string, boot int) *candidate {
@@ -78,13 +78,14 @@
 	return &candidate{name: name, lease: lease.New(name, fmt.Sprint(boot), settings)}
 }
 
-// TestAtMostOneHolder runs candidates under pauses, restarts, planned stops, times in which they stand aside, lost
-// calls and lost answers; that a lease was handed back may be heard late, and a
-// candidate's first read may show an old record. At no moment do two of them hold the lease, and no two share a token.
+// TestAtMostOneHolder runs candidates through pauses, restarts, planned stops, times in which they
+// yield the lease, lost calls and lost answers. Reports that a lease was handed back may be late, and a
+// candidate's first read may return an old record. At no moment do two candidates hold the lease, and
+// no two share a token.
 func TestAtMostOneHolder(t *testing.T) { testAtMostOneHolder(t, false) }
 
-// TestAtMostOneHolderAcrossRestores is TestAtMostOneHolder with a store that comes back from copies: the
-// record may then name a holder of before, or show the lease as handed back.
+// TestAtMostOneHolderAcrossRestores is TestAtMostOneHolder with a store that is restored from copies.
+// The record may then name an earlier holder, or show the lease as handed back.
 func TestAtMostOneHolderAcrossRestores(t *testing.T) { testAtMostOneHolder(t, true) }
 
 func testAtMostOneHolder(t *testing.T, restores bool) {
@@ -94,12 +95,12 @@
 		now := time.Unix(1000, 0)
 		candidates := []*candidate{newCandidate("a", 0), newCandidate("b", 0), newCandidate("c", 0)}
 		highest := uint64(0)
-		// released are the places at which the lease was handed back.
+		// released holds the places at which the lease was handed back.
 		var released []history.Place
 		for step := range rapid.IntRange(50, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "pause")) * time.Millisecond)
 			if restores && rapid.IntRange(0, 30).Draw(t, "restore") == 0 {
-				s.restore(rapid.IntRange(0, mostLost).Draw(t, "lost writes"))
+				s.restore(rapid.IntRange(0, maxLostWrites).Draw(t, "lost writes"))
 			}
 			for i, c := range candidates {
 				switch rapid.IntRange(0, 40).Draw(t, "event") {
@@ -111,15 +112,15 @@
 				case 2:
 					c.lease.Leave()
 				case 5:
-					// Another one has heard of the era.
+					// Another candidate has reported the era.
 					c.lease.EraLearned(now, s.era)
 				case 3, 4:
 					if len(released) > 0 {
 						c.lease.HeardReleased(now, rapid.SampledFrom(released).Draw(t, "place"))
 					}
 				case 6, 7:
-					c.aside = !c.aside
-					c.lease.StandAside(c.aside)
+					c.yielding = !c.yielding
+					c.lease.StandAside(c.yielding)
 				}
 				if !c.paused {
 					c.run(t, s, now)
@@ -145,21 +146,21 @@
 				}
 				s.fences[fence] = c.name
 				if fence < highest {
-					t.Fatalf("%s orders under %d after %d", c.name, fence, highest)
+					t.Fatalf("%s sends orders under token %d after token %d", c.name, fence, highest)
 				}
 				highest = fence
 			}
 			if holders > 1 {
-				t.Fatalf("%d holders at once", holders)
+				t.Fatalf("%d candidates hold the lease at once", holders)
 			}
 		}
 	})
 }
 
-// run makes one call and loses it, or its answer, now and then.
+// run makes one call, and sometimes loses it or its answer.
 func (c *candidate) run(t *rapid.T, s *store, now time.Time) {
 	if c.pending != nil {
-		// The answer of a call that was under way during a pause comes late.
+		// The answer of a call that was pending during a pause arrives late.
 		outcome, stored := s.call(*c.pending)
 		c.pending = nil
 		c.lease.Answered(now, outcome, stored)
@@ -182,7 +183,7 @@
 	}
 }
 
-// drive lets one candidate run without faults for a span.
+// drive runs one candidate without faults for a duration.
 func drive(c *candidate, s *store, now time.Time, span time.Duration) time.Time {
 	for end := now.Add(span); now.Before(end); now = now.Add(50 * time.Millisecond) {
 		if call := c.lease.Step(now, true); call != nil {
@@ -214,7 +215,7 @@
 			second := &candidate{lease: lease.New("second", "1", settings)}
 			now := drive(first, s, time.Unix(1000, 0), 2*time.Second)
 			if _, may := first.lease.MayOrder(now); !may {
-				t.Fatal("the first candidate waits for nobody")
+				t.Fatal("the first candidate may not send orders although it has no predecessor")
 			}
 			if c.handBack {
 				first.lease.Leave()
@@ -246,8 +247,8 @@
 	}
 }
 
-// TestHeardRenewalSavesTheWait covers a candidate that hears renewals from the
-// holder: the term runs from the last one, not from its own first look.
+// TestHeardRenewalSavesTheWait covers a candidate that receives the holder's renewals from other
+// daemons. The term runs from the last one, not from the candidate's own first read.
 func TestHeardRenewalSavesTheWait(t *testing.T) {
 	s := &store{}
 	first := newCandidate("first", 1)
@@ -257,12 +258,12 @@
 	now = now.Add(term)
 	now = drive(second, s, now, 200*time.Millisecond)
 	if !second.lease.Held(now) {
-		t.Fatal("not taken a term after the last renewal that was heard")
+		t.Fatal("lease not taken a term after the last reported renewal")
 	}
 }
 
-// TestRestartedHolderTakesItsLeaseBack covers a holder whose process is killed and
-// started again, while nobody else tries to take the lease.
+// TestRestartedHolderTakesItsLeaseBack covers a holder whose process is killed and restarted, while
+// nobody else tries to take the lease.
 func TestRestartedHolderTakesItsLeaseBack(t *testing.T) {
 	s := &store{}
 	now := drive(newCandidate("holder", 1), s, time.Unix(1000, 0), time.Second)
@@ -280,7 +281,7 @@
 	for range 4 {
 		if call := other.lease.Step(now, false); call != nil {
 			if call.Write != nil {
-				t.Fatal("a candidate that is not eager takes the lease of another")
+				t.Fatal("a candidate that is not eager takes over the lease of another")
 			}
 			outcome, stored := s.call(*call)
 			other.lease.Answered(now, outcome, stored)
@@ -288,8 +289,8 @@
 	}
 }
 
-// TestOldRecordDoesNotHideANewerRenewal has a candidate's first read answered with an old record
-// after it has heard of a renewal.
+// TestOldRecordDoesNotHideANewerRenewal covers a candidate whose first read returns an old record after
+// a newer renewal was reported to it.
 func TestOldRecordDoesNotHideANewerRenewal(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newCandidate("c", 1)
@@ -299,7 +300,7 @@
 	c.lease.Heard(now, history.At(0, 9))
 	c.lease.Answered(now, lease.OutcomeConflict, lease.Stored{Record: lease.Record{Holder: "b"}, At: history.At(0, 5)})
 	if place := c.lease.Place(); place != history.At(0, 9) {
-		t.Errorf("place %v after hearing of 9", place)
+		t.Errorf("place %v after a reported renewal at 9", place)
 	}
 	if call := c.lease.Step(now.Add(term+time.Millisecond), true); call == nil || call.MayLag || call.Write != nil && call.If != history.At(0, 9) {
 		t.Errorf("the call after a term is %+v", call)
@@ -311,16 +312,15 @@
 	holder := newCandidate("holder", 1)
 	now := drive(holder, s, time.Unix(1000, 0), time.Second)
 	if !holder.lease.Held(now) {
-		t.Fatal("not held")
+		t.Fatal("the lease is not held")
 	}
 	if now = now.Add(term); holder.lease.Held(now) {
-		t.Fatal("held after a pause of a term")
+		t.Fatal("the lease is held after a pause of a term")
 	}
 }
 
-// TestHolderThatHandsBackStopsBeforeTheAnswer covers a planned stop: the write that hands
-// the lease back may be done although its answer is lost, and another candidate then takes
-// the lease at once.
+// TestHolderThatHandsBackStopsBeforeTheAnswer covers a planned stop. The write that hands the lease
+// back may be done although its answer is lost, and another candidate then takes the lease at once.
 func TestHolderThatHandsBackStopsBeforeTheAnswer(t *testing.T) {
 	s, now := &store{}, time.Unix(1000, 0)
 	leaving, next := newCandidate("a", 0), newCandidate("b", 0)
@@ -331,20 +331,20 @@
 	leaving.lease.Leave()
 	call := leaving.lease.Step(now, true)
 	if call == nil || call.Write == nil || call.Write.Holder != "" {
-		t.Fatalf("asked for %+v instead of handing the lease back", call)
+		t.Fatalf("call %+v instead of one that hands the lease back", call)
 	}
 	s.call(*call)
 	if leaving.lease.Held(now) {
-		t.Error("it holds the lease that it may have handed back")
+		t.Error("the candidate still holds the lease that it may have handed back")
 	}
 	next.lease.HeardReleased(now, history.At(0, s.revision))
 	if now = drive(next, s, now, 100*time.Millisecond); !next.lease.Held(now) {
-		t.Error("the next one does not take at once what was handed back")
+		t.Error("the next candidate does not take the returned lease at once")
 	}
 }
 
-// TestCandidateThatStandsAside covers a holder that can't act for a while: it hands the lease back, does not take it
-// meanwhile though nobody else does, and takes it afterwards under a new token.
+// TestCandidateThatStandsAside covers a holder that can't act for a while. It hands the lease back,
+// does not take it meanwhile although nobody else does, and takes it afterwards under a new token.
 func TestCandidateThatStandsAside(t *testing.T) {
 	s, now := &store{}, time.Unix(1000, 0)
 	c := newCandidate("a", 0)
--- a/lease/record.go
+++ b/lease/record.go
@@ -10,66 +10,66 @@
 type Record struct {
 	// Holder is empty when the lease was handed back.
 	Holder string
-	// Boot tells two processes of one holder apart.
+	// Boot distinguishes two processes of one holder.
 	Boot string
-	// Fence is the token of the holder: that of the place at which it took over.
-	// In the store it is zero until the first renewal.
+	// Fence is the fencing token of the holder, given by the place at which it took over. In the store
+	// it is zero until the first renewal.
 	Fence uint64
 	// Renewals makes each renewal a change.
 	Renewals uint64
-	// Era is that of the store as the writer knew it, and EraRenewals how often the lease was renewed in it.
+	// Era is the era of the store that the writer knew, and EraRenewals counts the renewals in it.
 	Era         uint64
 	EraRenewals uint64
 }
 
-// Stored is a record with the place of its last change; the place has no revision if there is no
-// record yet.
+// Stored is a record with the place of its last change. The place has no revision if there is no record
+// yet.
 type Stored struct {
 	Record Record
 	At     history.Place
 }
 
-// none reports whether there is no record.
-func (s *Stored) none() bool { return s.At.Revision == 0 }
+// missing reports whether there is no record.
+func (s *Stored) missing() bool { return s.At.Revision == 0 }
 
-// copied reports whether the record was written in an earlier era than the one whose store shows it: the
-// store came back from a copy since, and has lost what was written between the two.
-func (s *Stored) copied() bool { return !s.none() && s.Record.Era < s.At.Era }
+// fromCopy reports whether the record was written in an earlier era than that of the store which
+// returned it. The store was restored from a copy since, and has lost what was written between the two.
+func (s *Stored) fromCopy() bool { return !s.missing() && s.Record.Era < s.At.Era }
 
 // Settings of a lease.
 type Settings struct {
 	// Term is how long a renewal lasts.
 	Term time.Duration
-	// RenewEvery is the time between two renewals.
+	// RenewEvery is the interval between two renewals.
 	RenewEvery time.Duration
-	// OrderPause is how long a holder that took over from another one sends no
-	// orders.
+	// OrderPause is how long a holder that took over from another one sends no orders.
 	OrderPause time.Duration
 	// Margin is how long before the end of the term the holder stops.
 	Margin time.Duration
-	// CallTimeout is after how long an unanswered call is given up.
+	// CallTimeout is the timeout of a call.
 	CallTimeout time.Duration
 }
 
-// DefaultSettings returns settings for a term, for servers that check no fencing
-// token: orders of two holders then must never alternate within a term.
+// DefaultSettings returns settings for a term, for servers that check no fencing token: orders of two
+// holders then must never alternate within a term.
 func DefaultSettings(term time.Duration) Settings {
 	return Settings{Term: term, RenewEvery: term / 3, OrderPause: term, Margin: term / 6, CallTimeout: term / 4}
 }
 
-// Call is what the driver has to do: read the record, or write one.
+// Call is a call for the driver to make: a read of the record, or a write.
 type Call struct {
 	// Write is nil for a read.
 	Write *Record
-	// If is the place of the record that a write replaces; without a revision it creates.
+	// If is the place of the record that a write replaces. Without a revision the write creates the
+	// record.
 	If history.Place
-	// MayLag allows a stale read, of a record some seconds old, as for the first read of a
-	// candidate: whatever it decides by an old record is a write on that record's place,
-	// which fails if there is a newer one.
+	// MayLag allows a stale read of a record that is some seconds old, as for the first read of a
+	// candidate. A decision on an old record leads to a write on that record's place, which fails if
+	// there is a newer record.
 	MayLag bool
 }
 
-// Outcome is how a call ended.
+// Outcome is the result of a call.
 type Outcome uint8
 
 // Outcomes of calls.
