--- a/coordination/news.go
+++ b/coordination/change_log.go
@@ -9,35 +9,35 @@
 	"github.com/wheatweir/wheatweir/fleet"
 )
 
-// A fleet tells its news to each of its daemons, so a line of the log for each piece of news
-// grows as their product: 840,000 lines in 48 s with 295 daemons before 245 servers. Lines that
-// name what is new, gathered for a while, keep all of it: 8,700 in the first 25 s of such a day.
+// Every daemon of a fleet receives every change, so one log line per change grows with the product of
+// the two: 840,000 lines in 48 s with 295 daemons and 245 servers. Lines that collect the changed names
+// for a while keep all of the information: 8,700 lines in the first 25 s of a comparable run.
 const (
-	// namesPerLine bounds the names in one line.
-	namesPerLine = 64
-	// newsPause is the least time between two lines of one sort that are not full.
-	newsPause = time.Second
+	// maxNamesPerLine bounds the names in one line.
+	maxNamesPerLine = 64
+	// minLineInterval is the minimum interval between two lines of one kind that are not full.
+	minLineInterval = time.Second
 )
 
-// origin is where a daemon learned something: the store, or the daemon of that name.
+// origin is the source of a change: the store, or the name of the daemon that sent it.
 type origin string
 
-// originStore is the origin of what this daemon read from the store itself.
+// originStore is the origin of changes that this daemon read from the store itself.
 const originStore origin = "store"
 
-// newsList gathers news of one sort for the log.
+// newsList collects the changes of one kind for the log.
 type newsList struct {
 	part string
-	// groups are the names by what became of them, in the order in which they first came up.
-	groups  []newsGroup
+	// groups hold the names by their new state, in the order in which the states first occurred.
+	groups  []nameGroup
 	origins []string
 	count   int
-	// since is when the first of the names was learned.
+	// since is when the first of the names was added.
 	since    time.Time
 	loggedAt time.Time
 }
 
-type newsGroup struct {
+type nameGroup struct {
 	state string
 	names []string
 }
@@ -53,7 +53,7 @@
 			return
 		}
 	}
-	l.groups = append(l.groups, newsGroup{state: state, names: []string{name}})
+	l.groups = append(l.groups, nameGroup{state: state, names: []string{name}})
 }
 
 func (l *newsList) addOrigin(from origin) {
@@ -62,12 +62,12 @@
 	}
 }
 
-// due reports whether a line has to be written now.
+// due reports whether a line must be written now.
 func (l *newsList) due(now time.Time) bool {
-	return l.count > 0 && now.Sub(l.loggedAt) >= newsPause
+	return l.count > 0 && now.Sub(l.loggedAt) >= minLineInterval
 }
 
-// take returns the fields of a line with the names so far, and empties the list.
+// take returns the log fields with the names so far, and empties the list.
 func (l *newsList) take(now time.Time) []any {
 	fields := []any{"count", l.count, "over_ms", now.Sub(l.since).Milliseconds()}
 	if len(l.origins) > 0 {
@@ -80,16 +80,16 @@
 	return fields
 }
 
-// logNews writes a line for a list.
-func (n *Node) logNews(now time.Time, list *newsList) {
+// logChanges writes one line with the contents of a list.
+func (n *Node) logChanges(now time.Time, list *newsList) {
 	n.decide(list.part, "Changed.", list.take(now)...)
 }
 
-// addNews adds a name to a list and writes a line if it is full.
+// addNews adds a name to a list, and writes a line if the list is full.
 func (n *Node) addNews(now time.Time, list *newsList, state, name string) {
 	list.add(now, state, name)
-	if list.count == namesPerLine {
-		n.logNews(now, list)
+	if list.count == maxNamesPerLine {
+		n.logChanges(now, list)
 	}
 }
 
@@ -97,13 +97,13 @@
 func (n *Node) logDueNews(now time.Time) {
 	for _, list := range []*newsList{&n.memberNews, &n.instanceNews} {
 		if list.due(now) {
-			n.logNews(now, list)
+			n.logChanges(now, list)
 		}
 	}
 }
 
-// noteInstances notes what became of instances and from where this daemon knows it, for the log.
-// Each is named with the place of its change.
+// noteInstances records the changes of instances and their origins for the log. Each name is followed
+// by the place of its change.
 func (n *Node) noteInstances(now time.Time, from origin, changed []feed.Item[*fleet.Instance]) {
 	list := &n.instanceNews
 	for _, item := range changed {
--- a/coordination/cold.go
+++ b/coordination/cold_instances.go
@@ -6,8 +6,9 @@
 	"github.com/wheatweir/wheatweir/fleet"
 )
 
-// LearnCold tells the driver that an instance is cold: for the span Left, all daemons together may send it no more
-// than PerSecond requests a second.
+// LearnCold tells the driver that an instance is cold. A cold instance has just started and bears few
+// requests: for the duration Left, all daemons together may send it at most PerSecond requests per
+// second.
 type LearnCold struct {
 	Instance  string
 	PerSecond float64
@@ -16,22 +17,22 @@
 
 func (LearnCold) action() {}
 
-// noteCold takes in how much longer an instance says that it stays cold.
+// noteCold processes the remaining time for which an instance declares itself cold.
 func (n *Node) noteCold(instance *fleet.Instance) {
 	if instance.ColdLeft > 0 {
-		n.learnCold(instance, instance.ColdLeft)
+		n.reportCold(instance, instance.ColdLeft)
 	}
 }
 
-// assumeCold takes an instance for as cold as one that has just started: servers of a zone may have been emptied while
-// they were out of use, and their entries tell so later.
+// assumeCold treats an instance as cold as one that has just started. The instances of a zone may have
+// been emptied while they were out of use, and their entries report that later.
 func (n *Node) assumeCold(instance *fleet.Instance) {
 	if service := n.serviceOf(instance); service != nil {
-		n.learnCold(instance, service.ColdSpan)
+		n.reportCold(instance, service.ColdSpan)
 	}
 }
 
-func (n *Node) learnCold(instance *fleet.Instance, left time.Duration) {
+func (n *Node) reportCold(instance *fleet.Instance, left time.Duration) {
 	service := n.serviceOf(instance)
 	if service == nil || service.ColdPerSecond <= 0 {
 		return
@@ -39,15 +40,15 @@
 	n.do(LearnCold{Instance: instance.ID, PerSecond: service.ColdPerSecond, Left: left})
 }
 
-// noteAllCold takes in which instances are cold when a configuration has come to be known, since it tells how much they
-// bear: their entries may have been known before.
+// noteAllCold processes the cold instances again when a configuration is received, since the
+// configuration says how much load they bear. Their entries may have been received earlier.
 func (n *Node) noteAllCold() {
 	for _, item := range n.instances.Items() {
 		n.noteCold(item.Value)
 	}
 }
 
-// serviceOf returns the service of an instance, or nil if the configuration does not name it.
+// serviceOf returns the service of an instance, or nil if the configuration does not contain it.
 func (n *Node) serviceOf(instance *fleet.Instance) *fleet.Service {
 	services := n.services()
 	for i := range services {
--- a/coordination/assurance_test.go
+++ b/coordination/configuration_freshness_test.go
@@ -14,23 +14,22 @@
 	_ "github.com/wheatweir/wheatweir/internal/fixedseed"
 )
 
-// revokeWithin is what the users' sites say.
+// revokeWithin is the value used in production.
 const revokeWithin = 5 * time.Second
 
 // assuredStore is the configuration in the store, with its history.
 type assuredStore struct {
 	version uint64
-	// shown is the version that the store shows: after it came back from a copy an older one, until the
-	// operator writes again at writtenAgainAt.
-	shown          uint64
-	writtenAgainAt time.Time
-	// changedAt is when each version was taken.
+	// shown is the version that the store returns. After a restore from a copy it is an older one,
+	// until the operator writes the newest again at rewrittenAt.
+	shown       uint64
+	rewrittenAt time.Time
+	// changedAt is when the store accepted each version.
 	changedAt map[uint64]time.Time
 	// reads counts the calls, answered or not.
 	reads int
 }
 
-// versionAt returns the version that was the newest at a moment.
 func (s *assuredStore) versionAt(at time.Time) uint64 {
 	newest := uint64(0)
 	for version, changedAt := range s.changedAt {
@@ -60,23 +59,23 @@
 	}))
 }
 
-// show returns the version that the store shows now.
+// show returns the version that the store returns now.
 func (s *assuredStore) show(now time.Time) uint64 {
-	if !now.Before(s.writtenAgainAt) {
+	if !now.Before(s.rewrittenAt) {
 		s.shown = s.version
 	}
 	return s.shown
 }
 
-// loseConfigurations has the store come back from a copy without its last versions, which the operator
-// writes again after a span.
-func (w *world) loseConfigurations(count uint64, again time.Duration) {
+// loseConfigurations restores the store from a copy that lacks its last versions. The operator writes
+// them again after a delay.
+func (w *world) loseConfigurations(count uint64, delay time.Duration) {
 	w.restore(w.era + 1)
 	w.assured.shown = max(1, w.assured.version-min(count, w.assured.version))
-	w.assured.writtenAgainAt = w.now.Add(again)
+	w.assured.rewrittenAt = w.now.Add(delay)
 }
 
-// newAssuredWorld returns daemons that keep their configuration sure.
+// newAssuredWorld returns daemons that keep proving that their configuration is the newest.
 func newAssuredWorld(count int) *world {
 	w := newWorld(count)
 	w.assured = &assuredStore{changedAt: map[uint64]time.Time{}}
@@ -88,29 +87,29 @@
 	return w
 }
 
-// greatestAge is how old the oldest sure knowledge of the daemons is that live.
-func (w *world) greatestAge() time.Duration {
-	greatest := time.Duration(0)
+// maxAge is the age of the oldest proof among the live daemons.
+func (w *world) maxAge() time.Duration {
+	oldest := time.Duration(0)
 	for _, name := range w.names() {
 		if !w.dead[name] {
-			greatest = max(greatest, w.now.Sub(w.nodes[name].SureSince()))
+			oldest = max(oldest, w.now.Sub(w.nodes[name].SureSince()))
 		}
 	}
-	return greatest
+	return oldest
 }
 
-// watchAges runs a world and returns the greatest age in that time.
-func (w *world) watchAges(span time.Duration) time.Duration {
-	greatest := time.Duration(0)
+// maxAgeDuring runs a world and returns the maximum age in that time.
+func (w *world) maxAgeDuring(span time.Duration) time.Duration {
+	oldest := time.Duration(0)
 	for end := w.now.Add(span); w.now.Before(end); {
 		w.run(50 * time.Millisecond)
-		greatest = max(greatest, w.greatestAge())
+		oldest = max(oldest, w.maxAge())
 	}
-	return greatest
+	return oldest
 }
 
-// TestConfigurationStaysSure covers fleets at rest: what a few read all learn, so the calls to
-// the store do not grow with the fleet, nor does what one daemon is asked.
+// TestConfigurationStaysSure covers fleets at rest. All daemons get their proof from the reads of a
+// few. So neither the calls to the store nor the requests to any one daemon grow with the fleet.
 func TestConfigurationStaysSure(t *testing.T) {
 	for _, count := range []int{3, 9, 69, 295} {
 		if count > 69 && !largeFleets {
@@ -121,25 +120,25 @@
 			w.run(10 * time.Second)
 			w.assured.reads = 0
 			clear(w.questions)
-			greatest := w.watchAges(10 * time.Second)
-			t.Logf("the oldest knowledge is %v old, %d reads in ten seconds", greatest, w.assured.reads)
-			if limit := revokeWithin * 3 / 10; greatest > limit {
-				t.Errorf("the oldest knowledge is %v old, at most %v wanted", greatest, limit)
+			oldest := w.maxAgeDuring(10 * time.Second)
+			t.Logf("the oldest proof is %v old, %d reads in ten seconds", oldest, w.assured.reads)
+			if limit := revokeWithin * 3 / 10; oldest > limit {
+				t.Errorf("the oldest proof is %v old, at most %v wanted", oldest, limit)
 			}
 			if w.assured.reads > 30 {
 				t.Errorf("%d reads in ten seconds", w.assured.reads)
 			}
-			for name, asked := range w.questions {
-				if asked > 10*60 {
-					t.Errorf("%s is asked %d times in ten seconds", name, asked)
+			for name, requests := range w.questions {
+				if requests > 10*60 {
+					t.Errorf("%s receives %d requests in ten seconds", name, requests)
 				}
 			}
 		})
 	}
 }
 
-// TestDaemonsThatTheStoreTurnsAwayStaySure has a third of the daemons turned away, with the one
-// that reads among them.
+// TestDaemonsThatTheStoreTurnsAwayStaySure covers a store that rejects a third of the daemons, among
+// them the reader.
 func TestDaemonsThatTheStoreTurnsAwayStaySure(t *testing.T) {
 	for _, count := range []int{9, 69, 295} {
 		if count > 69 && !largeFleets {
@@ -153,17 +152,18 @@
 					w.storeCut[name] = true
 				}
 			}
-			greatest := w.watchAges(9 * time.Second)
-			t.Logf("the oldest knowledge is %v old", greatest)
-			if greatest > revokeWithin*8/10 {
-				t.Errorf("the oldest knowledge is %v old", greatest)
+			oldest := w.maxAgeDuring(9 * time.Second)
+			t.Logf("the oldest proof is %v old", oldest)
+			if oldest > revokeWithin*8/10 {
+				t.Errorf("the oldest proof is %v old", oldest)
 			}
 		})
 	}
 }
 
-// TestWhoReadsForAllGoesOn has the first daemons and a third of the others turned away for long. It guards against
-// daemons that grow as old, each time that a stand-in has read for all for a while, as before they had the first one.
+// TestWhoReadsForAllGoesOn covers a store that rejects the first daemons and a third of the others for
+// long. It guards against ages that, each time the term of a substitute reader ends, grow as large as
+// before the first substitution.
 func TestWhoReadsForAllGoesOn(t *testing.T) {
 	const firstTime, limit = 5 * time.Second, revokeWithin * 55 / 100
 	for offset := range 3 {
@@ -174,28 +174,28 @@
 				w.storeCut[name] = true
 			}
 		}
-		first := w.watchAges(firstTime)
-		later := w.watchAges(12 * time.Second)
-		t.Logf("the oldest knowledge is %v old at first, %v later", first, later)
+		first := w.maxAgeDuring(firstTime)
+		later := w.maxAgeDuring(12 * time.Second)
+		t.Logf("the oldest proof is %v old at first, %v later", first, later)
 		if later > limit {
-			t.Errorf("the oldest knowledge is %v old, at most %v wanted", later, limit)
+			t.Errorf("the oldest proof is %v old, at most %v wanted", later, limit)
 		}
 	}
 }
 
-// TestOutageOfTheStoreAsksLittle has the store answer nobody: nobody is sure any more after a
-// while, which no number of calls can change, and all are sure again soon after its return.
+// TestOutageOfTheStoreAsksLittle covers a store that answers nobody. After a while no daemon has a
+// recent proof, which no number of calls can change. All have one again soon after the outage.
 func TestOutageOfTheStoreAsksLittle(t *testing.T) {
 	w := newAssuredWorld(69)
 	w.run(10 * time.Second)
 	for _, name := range w.names() {
 		w.storeCut[name] = true
 	}
-	before := w.greatestAge()
+	before := w.maxAge()
 	w.assured.reads = 0
 	w.run(10 * time.Second)
-	if w.greatestAge() < 10*time.Second || w.greatestAge() > before+10*time.Second {
-		t.Errorf("after ten seconds the oldest knowledge is %v old, %v before", w.greatestAge(), before)
+	if w.maxAge() < 10*time.Second || w.maxAge() > before+10*time.Second {
+		t.Errorf("after ten seconds the oldest proof is %v old, %v before", w.maxAge(), before)
 	}
 	t.Logf("%d reads in ten seconds of an outage", w.assured.reads)
 	if w.assured.reads > 130 {
@@ -203,14 +203,14 @@
 	}
 	clear(w.storeCut)
 	w.run(2 * time.Second)
-	if greatest := w.greatestAge(); greatest > 1500*time.Millisecond {
-		t.Errorf("two seconds after the return the oldest knowledge is %v old", greatest)
+	if oldest := w.maxAge(); oldest > 1500*time.Millisecond {
+		t.Errorf("two seconds after the outage the oldest proof is %v old", oldest)
 	}
 }
 
-// TestSureKnowledgeIsTrue holds what nodes are sure of against the store's history, while the
-// store turns some away, messages take up to seconds, and nodes are killed and start again under
-// their names.
+// TestSureKnowledgeIsTrue compares the proofs of the nodes with the store's history. Meanwhile the
+// store rejects some nodes, messages take up to seconds, and nodes are killed and restarted under their
+// names.
 func TestSureKnowledgeIsTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newAssuredWorld(rapid.IntRange(2, 7).Draw(t, "daemons"))
@@ -221,12 +221,13 @@
 		for range 60 {
 			w.disturb(random)
 			w.run(time.Duration(50*(1+random.IntN(8))) * time.Millisecond)
-			w.requireSureIsTrue(t)
+			w.checkSureIsTrue(t)
 		}
 	})
 }
 
-// disturb changes the configuration, or what happens to a node.
+// disturb changes the configuration, cuts a node off from the store or reconnects it, or restarts a
+// node.
 func (w *world) disturb(random *rand.Rand) {
 	name := w.names()[random.IntN(len(w.nodes))]
 	switch random.IntN(5) {
@@ -239,13 +240,13 @@
 	}
 }
 
-// restart replaces a node by one that knows nothing. Messages to the earlier one still arrive.
+// restart replaces a node by an empty one. Messages to the earlier one still arrive.
 func (w *world) restart(name string, random *rand.Rand) {
 	w.rebuildOne(name, uint64(w.now.UnixMilli()), random)
 	w.perform(name, w.nodes[name].InstancesListed(w.now, listed(w.era, 5, "i1", "i2")))
 }
 
-func (w *world) requireSureIsTrue(t *rapid.T) {
+func (w *world) checkSureIsTrue(t *rapid.T) {
 	for _, name := range w.names() {
 		node := w.nodes[name]
 		view, _ := node.TakeView()
@@ -254,13 +255,13 @@
 			continue
 		}
 		if newest := w.assured.versionAt(since); view.Version() < newest {
-			t.Fatalf("%s is sure since %v with version %d, when %d was the newest", name, w.now.Sub(since), view.Version(), newest)
+			t.Fatalf("%s has a proof that is %v old for version %d, when %d was the newest", name, w.now.Sub(since), view.Version(), newest)
 		}
 	}
 }
 
-// TestSureKnowledgeIsTrueAcrossRestores is TestSureKnowledgeIsTrue with a store that comes back from copies
-// that lack its last versions. The operator writes them again within 2 s.
+// TestSureKnowledgeIsTrueAcrossRestores is TestSureKnowledgeIsTrue with a store that is restored from
+// copies that lack its last versions. The operator writes them again within 2 s.
 func TestSureKnowledgeIsTrueAcrossRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newAssuredWorld(rapid.IntRange(2, 7).Draw(t, "daemons"))
@@ -281,13 +282,13 @@
 				w.restart(name, random)
 			}
 			w.run(time.Duration(50*(1+random.IntN(8))) * time.Millisecond)
-			w.requireSureIsTrue(t)
+			w.checkSureIsTrue(t)
 		}
 	})
 }
 
-// TestSureSoonAfterARestore covers what a restore costs: all daemons are sure again soon after the operator
-// had time to write again.
+// TestSureSoonAfterARestore covers the duration of a restore: all daemons have a recent proof again
+// soon after the operator had time to write again.
 func TestSureSoonAfterARestore(t *testing.T) {
 	for _, count := range []int{9, 69} {
 		w := newAssuredWorld(count)
@@ -295,15 +296,16 @@
 		w.changeConfiguration()
 		w.run(100 * time.Millisecond)
 		w.loseConfigurations(1, 2*time.Second)
-		greatest := w.watchAges(4 * time.Second)
-		t.Logf("%d daemons: the oldest knowledge was %v old, %v four seconds after the restore", count, greatest, w.greatestAge())
-		if greatest > revokeWithin*9/10 || w.greatestAge() > revokeWithin*3/10 {
-			t.Errorf("%d daemons: the oldest knowledge was %v old, %v four seconds after the restore", count, greatest, w.greatestAge())
+		oldest := w.maxAgeDuring(4 * time.Second)
+		t.Logf("%d daemons: the oldest proof was %v old, %v four seconds after the restore", count, oldest, w.maxAge())
+		if oldest > revokeWithin*9/10 || w.maxAge() > revokeWithin*3/10 {
+			t.Errorf("%d daemons: the oldest proof was %v old, %v four seconds after the restore", count, oldest, w.maxAge())
 		}
 	}
 }
 
-// TestFleetThatStartsAnewIsSureSoon has all daemons start anew at one moment, in an era that has lasted.
+// TestFleetThatStartsAnewIsSureSoon restarts all daemons at one moment, in an era that has lasted for a
+// while.
 func TestFleetThatStartsAnewIsSureSoon(t *testing.T) {
 	const allowed = 300 * time.Millisecond
 	w := newAssuredWorld(9)
@@ -316,7 +318,7 @@
 	w.run(allowed)
 	for _, name := range w.names() {
 		if since := w.nodes[name].SureSince(); since.IsZero() {
-			t.Errorf("%s is not sure %v after its start", name, allowed)
+			t.Errorf("%s has no proof %v after its start", name, allowed)
 		}
 	}
 }
--- a/coordination/departures.go
+++ b/coordination/departures.go
@@ -9,83 +9,84 @@
 )
 
 const (
-	// departureSpan is how long it is remembered that an instance is gone. Copies that the store comes
-	// back from are some seconds old.
-	departureSpan = time.Minute
-	// saidSpan is the same for one that has said itself that it leaves: its entry may come and go while
-	// the store is in trouble.
-	saidSpan = time.Hour
-	// shownSpan is how long an instance that had gone is not used after a copy has shown it again. The
-	// entry of a server that has ended lapses before, after 3.6 s at the users' sites; one that stays is of
-	// a server that lives.
-	shownSpan = 10 * time.Second
+	// departureTTL is how long the departure of an instance is remembered. The copies from which the
+	// store is restored are some seconds old.
+	departureTTL = time.Minute
+	// announcedDepartureTTL is the same for an instance that has announced itself that it leaves. Its
+	// entry may come and go while the store is failing.
+	announcedDepartureTTL = time.Hour
+	// relistedDelay is how long an instance that was gone stays out of use after a restored copy has
+	// listed it again. The entry of a server that has ended expires earlier, after 3.6 s in production.
+	// An entry that remains belongs to a running server.
+	relistedDelay = 10 * time.Second
 )
 
-// departures remembers which instances are leaving or gone while their entries may show them as ready: after
-// the store has come back from a copy, or because the instance says in its answers that it leaves and its entry is
-// late. Whoever knew that an instance leaves goes on to keep requests from it.
+// departures tracks the instances that are leaving or gone although their entries may show them as
+// ready. That happens after the store was restored from a copy, or when an instance announces in its
+// responses that it leaves and its entry is late. A daemon that recorded the departure continues to
+// send the instance no requests.
 type departures struct {
 	byInstance map[string]departure
 }
 
-// departure is what was last known of an instance that leaves.
+// departure is the last known state of an instance that leaves or is gone.
 type departure struct {
-	// era is that of the store that told of it.
+	// era is the era of the store that reported the departure.
 	era  uint64
 	gone bool
 	at   time.Time
-	// said says that the instance has said itself that it leaves. No entry takes that back.
-	said bool
-	// shownAt is when a copy showed a gone instance again; zero if none did.
-	shownAt time.Time
+	// announced means that the instance itself has announced that it leaves. No entry revokes that.
+	announced bool
+	// relistedAt is when a restored copy listed a gone instance again; zero if none did.
+	relistedAt time.Time
 }
 
 func newDepartures() departures { return departures{byInstance: map[string]departure{}} }
 
-// note takes in what became of an instance. Restored says that a copy shows it, from which the store came
-// back: that it is ready there is no news.
+// note processes a change of an instance. Restored means that the change comes from a copy from which
+// the store was restored. That the copy shows an instance as ready is then no new information.
 func (d *departures) note(now time.Time, item *feed.Item[*fleet.Instance], restored bool) {
 	known, departed := d.byInstance[item.Name]
 	switch {
 	case item.Gone:
-		d.byInstance[item.Name] = departure{era: item.Place.Era, gone: true, at: now, said: known.said}
+		d.byInstance[item.Name] = departure{era: item.Place.Era, gone: true, at: now, announced: known.announced}
 	case item.Value.Leaving:
-		d.byInstance[item.Name] = departure{era: item.Place.Era, at: now, said: known.said}
-	case !departed, known.said:
+		d.byInstance[item.Name] = departure{era: item.Place.Era, at: now, announced: known.announced}
+	case !departed, known.announced:
 	case restored:
-		known.shownAt = now
+		known.relistedAt = now
 		d.byInstance[item.Name] = known
 	case known.gone || known.era == item.Place.Era:
-		// Its server has written that since.
+		// The server has written this entry since it was known to leave.
 		delete(d.byInstance, item.Name)
 	}
 }
 
-// say notes that an instance has said itself that it leaves. It reports whether that is news.
-func (d *departures) say(now time.Time, instance string, listed bool) bool {
+// announce records that an instance has announced that it leaves. It reports whether that was unknown.
+func (d *departures) announce(now time.Time, instance string, listed bool) bool {
 	known := d.byInstance[instance]
-	if known.said {
+	if known.announced {
 		return false
 	}
-	known.said, known.gone, known.at = true, !listed, now
+	known.announced, known.gone, known.at = true, !listed, now
 	d.byInstance[instance] = known
 	return true
 }
 
-// departed reports whether an instance is leaving or gone although the list may show it as ready.
+// departed reports whether an instance is leaving or gone, even if the list shows it as ready.
 func (d *departures) departed(instance string) bool {
 	_, departed := d.byInstance[instance]
 	return departed
 }
 
-// leaving reports whether an instance said that it leaves and is not known to be gone.
+// leaving reports whether an instance is known to leave and not known to be gone.
 func (d *departures) leaving(instance string) bool {
 	known, departed := d.byInstance[instance]
 	return departed && !known.gone
 }
 
-// asDeparted is an instance as it is in use: one that has departed is leaving.
-func (d *departures) asDeparted(listed *fleet.Instance) *fleet.Instance {
+// withDeparture returns an instance in the state for use: a departed one is leaving.
+func (d *departures) withDeparture(listed *fleet.Instance) *fleet.Instance {
 	if listed.Leaving || !d.departed(listed.ID) {
 		return listed
 	}
@@ -94,33 +95,34 @@
 	return &copied
 }
 
-// expire forgets what is too old to matter, and returns the instances that may be used again.
+// expire removes the departures that are too old to matter, and returns the instances that may be used
+// again.
 func (d *departures) expire(now time.Time) []string {
-	var again []string
+	var reusable []string
 	maps.DeleteFunc(d.byInstance, func(instance string, known departure) bool {
 		switch {
 		case !known.gone:
-			// Until the list says that it is gone.
+			// The departure is kept until the list reports that the instance is gone.
 			return false
-		case known.said:
-			return now.Sub(known.at) >= saidSpan
-		case !known.shownAt.IsZero():
-			if now.Sub(known.shownAt) < shownSpan {
+		case known.announced:
+			return now.Sub(known.at) >= announcedDepartureTTL
+		case !known.relistedAt.IsZero():
+			if now.Sub(known.relistedAt) < relistedDelay {
 				return false
 			}
-			again = append(again, instance)
+			reusable = append(reusable, instance)
 			return true
 		default:
-			return now.Sub(known.at) >= departureSpan
+			return now.Sub(known.at) >= departureTTL
 		}
 	})
-	return again
+	return reusable
 }
 
-// InstanceLeaves takes in that an instance has said itself that it leaves.
+// InstanceLeaves records that an instance has announced in a response that it leaves.
 func (n *Node) InstanceLeaves(now time.Time, instance string) []Action {
 	listed, found := n.instances.Get(instance)
-	if n.departures.say(now, instance, found) && found {
+	if n.departures.announce(now, instance, found) && found {
 		n.changed[instance] = true
 		n.book.Put(n.inUse(listed))
 		if n.held {
@@ -130,12 +132,13 @@
 	return n.take()
 }
 
-// departuresPause is the time between two looks for departures that are too old.
-const departuresPause = time.Second
+// departuresExpiryInterval is the interval between two checks for expired departures.
+const departuresExpiryInterval = time.Second
 
-// tickDepartures takes instances into use that a copy has shown again and whose entries have stayed.
+// tickDepartures takes instances back into use that a restored copy has listed again and whose entries
+// have remained.
 func (n *Node) tickDepartures(now time.Time) {
-	if now.Sub(n.departuresAt) < departuresPause {
+	if now.Sub(n.departuresAt) < departuresExpiryInterval {
 		return
 	}
 	n.departuresAt = now
@@ -143,7 +146,7 @@
 		if listed, found := n.instances.Get(id); found {
 			n.changed[id] = true
 			n.book.Put(n.inUse(listed))
-			n.decide("instances", "Stays listed after a restore; in use again.", "instance", id)
+			n.decide("instances", "Instance still listed after a restore of the store; back in use.", "instance", id)
 		}
 	}
 }
--- a/coordination/departures_test.go
+++ b/coordination/departures_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestWordOfAnInstanceThatLeavesStands has an instance say in its answers that it leaves, while its entry goes on
-// to show it as ready: written anew by the same life, gone for a while, and listed again. It guards against an
-// entry that takes back what the instance has said.
+// TestWordOfAnInstanceThatLeavesStands guards against an entry that revokes an instance's announcement
+// that it leaves. The entry goes on to show the instance as ready: it is written again by the same
+// process, gone for a while, and listed again.
 func TestWordOfAnInstanceThatLeavesStands(t *testing.T) {
 	w := eraWorld(1, "i1", "i2")
 	node := w.nodes["n0"]
@@ -19,38 +19,38 @@
 		}
 	}
 	w.perform("n0", node.InstanceLeaves(w.now, "i1"))
-	check("as soon as it has said so")
+	check("right after the announcement")
 	w.perform("n0", node.InstancesChanged(w.now, listed(1, 96, "i1")))
-	check("its entry is written anew")
+	check("entry written again")
 	w.perform("n0", node.InstancesListed(w.now, listed(1, 97, "i2")))
 	w.run(5 * time.Second)
 	w.perform("n0", node.InstancesListed(w.now, listed(1, 98, "i1", "i2")))
-	check("its entry has come back")
+	check("entry listed again")
 	w.run(2 * time.Minute)
 	check("two minutes later")
 }
 
-// TestHolderLeavesAnInstanceAlone has an instance ask the holder of the lease for rest: it is asked for no report, and
-// gets no order, until the rest has ended.
+// TestHolderLeavesAnInstanceAlone covers an instance that requests a backoff from the lease holder.
+// Until the backoff ends, the holder neither polls its report nor sends it orders.
 func TestHolderLeavesAnInstanceAlone(t *testing.T) {
 	w := eraWorld(1, "i1", "i2")
 	w.run(3 * time.Second)
 	w.perform("n0", w.nodes["n0"].InstanceRests("i1", w.now.Add(4*time.Second)))
-	before, sent := w.reportsAsked["i1"], len(w.orders)
+	before, ordersBefore := w.reportsAsked["i1"], len(w.orders)
 	w.run(4*time.Second - 100*time.Millisecond)
-	if asked := w.reportsAsked["i1"] - before; asked > 0 {
-		t.Errorf("asked for %d reports", asked)
+	if polls := w.reportsAsked["i1"] - before; polls > 0 {
+		t.Errorf("polled %d times", polls)
 	}
-	for _, order := range w.orders[sent:] {
+	for _, order := range w.orders[ordersBefore:] {
 		if order.order.Instance == "i1" {
-			t.Errorf("sent %+v", order)
+			t.Errorf("order sent: %+v", order)
 		}
 	}
 	if w.reportsAsked["i2"] == 0 {
-		t.Error("no other instance is asked either")
+		t.Error("the other instance is not polled either")
 	}
 	w.run(2 * time.Second)
 	if w.reportsAsked["i1"] == before {
-		t.Error("not asked again after its rest")
+		t.Error("not polled again after its backoff")
 	}
 }
--- a/coordination/evacuations.go
+++ b/coordination/evacuations.go
@@ -8,44 +8,46 @@
 	"github.com/wheatweir/wheatweir/history"
 )
 
-// EvacuationListing is the list of all evacuated zones at a place in the store's history.
+// EvacuationListing is the list of all evacuated zones at a place in the store's history. During an
+// evacuation, which the operator orders, no requests go to the instances of a zone.
 type EvacuationListing struct {
 	At    history.Place      `msgpack:"a"`
 	Zones []ListedEvacuation `msgpack:"z,omitempty"`
 }
 
-// ListedEvacuation is one evacuated zone with the place of its evacuation.
+// ListedEvacuation is one evacuated zone and the place of its evacuation in the history.
 type ListedEvacuation struct {
 	Zone  string        `msgpack:"z"`
 	Place history.Place `msgpack:"p"`
 }
 
-// EvacuationsListed takes in a full list of the evacuated zones.
+// EvacuationsListed processes a full list of the evacuated zones.
 func (n *Node) EvacuationsListed(now time.Time, batch feed.Batch[fleet.Evacuation]) []Action {
 	n.replaceEvacuations(now, originStore, batch)
 	return n.take()
 }
 
-// EvacuationsChanged takes in evacuations that were ordered or taken back.
+// EvacuationsChanged processes evacuations that were ordered or revoked.
 func (n *Node) EvacuationsChanged(now time.Time, batch feed.Batch[fleet.Evacuation]) []Action {
 	n.learnEra(now, originStore, batch.At.Era)
 	n.evacuationsChanged(now, originStore, n.evacuations.Apply(batch))
 	return n.take()
 }
 
-// replaceEvacuations takes in a full list. After the store has come back from a copy, evacuations that the list
-// lacks stay until the operator has had time to write them again.
+// replaceEvacuations processes a full list. After a restore of the store, evacuations that the list
+// lacks are kept until the operator has had time to write them again.
 func (n *Node) replaceEvacuations(now time.Time, from origin, batch feed.Batch[fleet.Evacuation]) {
 	n.learnEra(now, from, batch.At.Era)
-	n.noteList(SourceEvacuations, batch.At)
+	n.recordFirstList(SourceEvacuations, batch.At)
 	changed := n.evacuations.Replace(batch)
 	if n.evacuations.HasEarlier() {
-		n.eras.earlierUntil = now.Add(rewriteSpan)
+		n.eras.earlierUntil = now.Add(rewriteWindow)
 	}
 	n.evacuationsChanged(now, from, changed)
 }
 
-// evacuationsChanged takes the instances of evacuated zones out of use, and those of other zones into use again.
+// evacuationsChanged takes the instances of evacuated zones out of use, and those of zones whose
+// evacuation was revoked back into use.
 func (n *Node) evacuationsChanged(now time.Time, from origin, changed []feed.Item[fleet.Evacuation]) {
 	for _, item := range changed {
 		n.decide("evacuations", "Changed.", "zone", item.Name, "evacuated", !item.Gone, "at", item.Place, "from", string(from))
@@ -65,18 +67,18 @@
 	}
 }
 
-// evacuated reports whether a zone is evacuated.
 func (n *Node) evacuated(zone string) bool {
 	_, evacuated := n.evacuations.Get(zone)
 	return evacuated
 }
 
-// EvacuatedZones returns how many zones are evacuated.
+// EvacuatedZones returns the number of evacuated zones.
 func (n *Node) EvacuatedZones() int { return len(n.evacuations.Items()) }
 
-// inUse is an instance as it may be used: one that has departed or whose zone is evacuated counts as leaving.
+// inUse returns an instance in the state for use: one that has departed or whose zone is evacuated
+// counts as leaving.
 func (n *Node) inUse(listed *fleet.Instance) *fleet.Instance {
-	inUse := n.departures.asDeparted(listed)
+	inUse := n.departures.withDeparture(listed)
 	if inUse.Leaving || !n.evacuated(listed.Zone) {
 		return inUse
 	}
@@ -85,13 +87,14 @@
 	return &copied
 }
 
-// evacuationsKnown reports whether requests may be served as far as evacuations go. A daemon that the store does not
-// answer hears of them from others.
+// evacuationsKnown reports whether requests may be served as far as evacuations are concerned. A daemon
+// that the store does not answer receives the evacuations from others.
 func (n *Node) evacuationsKnown() bool {
 	return !n.settings.FollowsEvacuations || n.evacuations.Known() || n.sources[SourceEvacuations].unavailable
 }
 
-// evacuationListing is what another daemon is told of the evacuated zones: all of them, since there are few.
+// evacuationListing returns the list sent to other daemons. It contains all evacuated zones, since
+// there are few.
 func (n *Node) evacuationListing() *EvacuationListing {
 	listing := &EvacuationListing{At: n.evacuations.At()}
 	for _, item := range n.evacuations.Items() {
@@ -102,12 +105,12 @@
 	return listing
 }
 
-// takeEvacuations takes in the evacuated zones that another daemon knows.
+// takeEvacuations merges the evacuated zones that another daemon sent.
 func (n *Node) takeEvacuations(now time.Time, from origin, listing *EvacuationListing) {
 	batch := feed.Batch[fleet.Evacuation]{At: listing.At}
-	for _, told := range listing.Zones {
+	for _, listed := range listing.Zones {
 		batch.Items = append(batch.Items, feed.Item[fleet.Evacuation]{
-			Name: told.Zone, Place: told.Place, Value: fleet.Evacuation{Zone: told.Zone},
+			Name: listed.Zone, Place: listed.Place, Value: fleet.Evacuation{Zone: listed.Zone},
 		})
 	}
 	n.replaceEvacuations(now, from, batch)
--- a/coordination/evacuations_test.go
+++ b/coordination/evacuations_test.go
@@ -14,7 +14,7 @@
 	"github.com/wheatweir/wheatweir/member"
 )
 
-// evacuationBound is the time within which an evacuation has to be in force at all daemons.
+// evacuationBound is the time within which an evacuation must be in force at all daemons.
 const evacuationBound = 5 * time.Second
 
 // evacuated is a full list of evacuated zones.
@@ -26,13 +26,13 @@
 	return batch
 }
 
-// takenBack is a change that takes an evacuation back.
-func takenBack(era, at uint64, zone string) feed.Batch[fleet.Evacuation] {
+// evacuationLifted is a change that revokes an evacuation.
+func evacuationLifted(era, at uint64, zone string) feed.Batch[fleet.Evacuation] {
 	return feed.Batch[fleet.Evacuation]{At: history.At(era, at), Items: []feed.Item[fleet.Evacuation]{{Name: zone, Place: history.At(era, at), Gone: true}}}
 }
 
-// zonedWorld is a fleet in which zones may be evacuated. There is an instance in each of two zones, a and b, named
-// like it.
+// zonedWorld is a fleet in which zones may be evacuated. Each of two zones, a and b, contains one
+// instance named like the zone.
 func zonedWorld(count int) *world {
 	w := newWorld(count)
 	w.rebuild(func(_ int, _ *member.Member, settings *coordination.Settings) {
@@ -40,15 +40,15 @@
 	})
 	w.restore(1)
 	for _, name := range w.names() {
-		w.learnZones(name)
+		w.loadZones(name)
 		w.perform(name, w.nodes[name].EvacuationsListed(w.now, evacuated(1, 95)))
 	}
 	w.run(3 * time.Second)
 	return w
 }
 
-// learnZones gives a node the configuration and the instances.
-func (w *world) learnZones(name string) {
+// loadZones gives a node the configuration and the instances.
+func (w *world) loadZones(name string) {
 	configuration := engineConfiguration(1)
 	configuration.Services[0].ColdSpan, configuration.Services[0].ColdPerSecond = 3*time.Second, 8
 	w.perform(name, w.nodes[name].ConfigurationLearned(configuration))
@@ -69,8 +69,9 @@
 	}
 }
 
-// TestEvacuationReachesAllDaemons has the store tell the daemons that watch it of evacuations. It guards against
-// daemons that go on to use the instances of an evacuated zone, or of a zone that was taken back no longer.
+// TestEvacuationReachesAllDaemons has the store send evacuations to the daemons that watch it. It
+// guards against daemons that continue to use the instances of an evacuated zone, or never use those of
+// a zone again whose evacuation was revoked.
 func TestEvacuationReachesAllDaemons(t *testing.T) {
 	for _, count := range []int{3, 69, 295} {
 		if count > 100 && !largeFleets {
@@ -90,10 +91,10 @@
 			w.run(evacuationBound / 2)
 			w.wantInUse(t, "both zones, and one that does not exist")
 			w.fromStore(func(node *coordination.Node) []coordination.Action {
-				return node.EvacuationsChanged(w.now, takenBack(1, 98, "a"))
+				return node.EvacuationsChanged(w.now, evacuationLifted(1, 98, "a"))
 			})
 			w.run(evacuationBound / 2)
-			w.wantInUse(t, "one taken back", "a")
+			w.wantInUse(t, "one evacuation revoked", "a")
 		})
 	}
 }
@@ -110,7 +111,7 @@
 	settings.FollowsEvacuations = true
 	w.nodes["n4"] = coordination.New(w.now, self, settings, []string{"n0"}, rand.New(rand.NewPCG(4, 8)))
 	if w.nodes["n4"].Known() {
-		t.Error("takes itself for informed before it knows anything")
+		t.Error("the daemon reports that it is ready before it has any data")
 	}
 	for _, source := range []coordination.Source{coordination.SourceConfiguration, coordination.SourceInstances, coordination.SourceEvacuations} {
 		w.perform("n4", w.nodes["n4"].SourceAvailable(source, false))
@@ -119,23 +120,24 @@
 	w.wantInUse(t, "after the start", "b")
 }
 
-// TestDaemonServesNobodyBeforeItKnowsTheEvacuations guards against a daemon that knows configuration and instances
-// first and sends requests to an evacuated zone meanwhile.
+// TestDaemonServesNobodyBeforeItKnowsTheEvacuations guards against a daemon that receives configuration
+// and instances first and meanwhile sends requests to an evacuated zone.
 func TestDaemonServesNobodyBeforeItKnowsTheEvacuations(t *testing.T) {
 	w := newWorld(1)
 	w.rebuild(func(_ int, _ *member.Member, settings *coordination.Settings) { settings.FollowsEvacuations = true })
-	w.learnZones("n0")
+	w.loadZones("n0")
 	if view, _ := w.nodes["n0"].TakeView(); view.Configuration() != nil {
-		t.Error("a configuration is in force")
+		t.Error("a configuration is in force before the evacuations are known")
 	}
 	w.perform("n0", w.nodes["n0"].EvacuationsListed(w.now, evacuated(1, 95, "b")))
 	if view, _ := w.nodes["n0"].TakeView(); view.Configuration() == nil {
-		t.Error("no configuration is in force")
+		t.Error("no configuration is in force although the evacuations are known")
 	}
 	w.wantInUse(t, "listed", "a")
 }
 
-// TestEvacuationOutlastsARestore has the store come back from a copy that is older than an evacuation.
+// TestEvacuationOutlastsARestore covers a store that is restored from a copy which is older than an
+// evacuation.
 func TestEvacuationOutlastsARestore(t *testing.T) {
 	for _, again := range []bool{true, false} {
 		t.Run(fmt.Sprint("written again: ", again), func(t *testing.T) {
@@ -165,62 +167,64 @@
 	}
 }
 
-// TestHolderLeavesAnEvacuatedZoneAlone guards against reports and orders that reach servers of an evacuated zone, and
-// against a model without a replica elsewhere.
+// TestHolderLeavesAnEvacuatedZoneAlone guards against polls and orders that reach instances of an
+// evacuated zone, and against a model without a replica elsewhere.
 func TestHolderLeavesAnEvacuatedZoneAlone(t *testing.T) {
 	w := zonedWorld(1)
 	w.perform("n0", w.nodes["n0"].EvacuationsChanged(w.now, evacuated(1, 96, "a")))
-	before, sent := w.reportsAsked["a"], len(w.orders)
+	before, ordersBefore := w.reportsAsked["a"], len(w.orders)
 	w.run(5 * time.Second)
-	if asked := w.reportsAsked["a"] - before; asked > 0 {
-		t.Errorf("asked for %d reports", asked)
+	if polls := w.reportsAsked["a"] - before; polls > 0 {
+		t.Errorf("polled %d times", polls)
 	}
-	for _, order := range w.orders[sent:] {
+	for _, order := range w.orders[ordersBefore:] {
 		if order.order.Instance == "a" {
-			t.Errorf("sent %+v", order)
+			t.Errorf("order sent: %+v", order)
 		}
 	}
-	w.perform("n0", w.nodes["n0"].EvacuationsChanged(w.now, takenBack(1, 97, "a")))
+	w.perform("n0", w.nodes["n0"].EvacuationsChanged(w.now, evacuationLifted(1, 97, "a")))
 	w.run(2 * time.Second)
 	if w.reportsAsked["a"] == before {
-		t.Error("not asked again after the evacuation")
+		t.Error("not polled again after the evacuation")
 	}
 }
 
-// TestColdInstanceIsKnownWhicheverComesFirst guards against a cold instance that gets requests at the usual rate because
-// the configuration that says how much it bears came after its entry: three of ten runs of a test with five daemons.
+// TestColdInstanceIsKnownWhicheverComesFirst guards against a cold instance that gets requests at the
+// usual rate. That happens if the configuration that limits its load arrives after its entry, as in
+// three of ten runs of a test with five daemons.
 func TestColdInstanceIsKnownWhicheverComesFirst(t *testing.T) {
 	cold := listed(1, 96, "a")
 	cold.Items[0].Value.ColdLeft = 2 * time.Second
-	bears := engineConfiguration(2)
-	bears.Services[0].ColdPerSecond = 8
+	configuration := engineConfiguration(2)
+	configuration.Services[0].ColdPerSecond = 8
 	want := coordination.LearnCold{Instance: "a", PerSecond: 8, Left: 2 * time.Second}
 	for _, configurationFirst := range []bool{true, false} {
 		w := eraWorld(1, "a")
 		node := w.nodes["n0"]
 		var actions []coordination.Action
 		if configurationFirst {
-			actions = append(node.ConfigurationLearned(bears), node.InstancesChanged(w.now, cold)...)
+			actions = append(node.ConfigurationLearned(configuration), node.InstancesChanged(w.now, cold)...)
 		} else {
-			actions = append(node.InstancesChanged(w.now, cold), node.ConfigurationLearned(bears)...)
+			actions = append(node.InstancesChanged(w.now, cold), node.ConfigurationLearned(configuration)...)
 		}
 		if !slices.Contains(actions, coordination.Action(want)) {
-			t.Errorf("configuration first %v: not learned", configurationFirst)
+			t.Errorf("configuration first %v: no action limits the requests to the cold instance", configurationFirst)
 		}
 	}
 }
 
-// TestZoneThatWasTakenBackCountsAsCold guards against requests at the usual rate to servers that were emptied.
+// TestZoneThatWasTakenBackCountsAsCold guards against requests at the usual rate to instances that were
+// emptied during an evacuation.
 func TestZoneThatWasTakenBackCountsAsCold(t *testing.T) {
 	w := zonedWorld(1)
 	w.perform("n0", w.nodes["n0"].EvacuationsChanged(w.now, evacuated(1, 96, "a")))
 	var cold []coordination.LearnCold
-	for _, action := range w.nodes["n0"].EvacuationsChanged(w.now, takenBack(1, 97, "a")) {
-		if learned, ok := action.(coordination.LearnCold); ok {
-			cold = append(cold, learned)
+	for _, action := range w.nodes["n0"].EvacuationsChanged(w.now, evacuationLifted(1, 97, "a")) {
+		if reported, ok := action.(coordination.LearnCold); ok {
+			cold = append(cold, reported)
 		}
 	}
 	if want := []coordination.LearnCold{{Instance: "a", PerSecond: 8, Left: 3 * time.Second}}; !slices.Equal(cold, want) {
-		t.Errorf("learned %+v, want %+v", cold, want)
+		t.Errorf("cold instances %+v, want %+v", cold, want)
 	}
 }
--- a/coordination/partners_test.go
+++ b/coordination/gossip_peers_test.go
@@ -8,11 +8,12 @@
 	"github.com/wheatweir/wheatweir/member"
 )
 
-// TestDaemonTellsTheSameOthersForAWhile counts the daemons that one tells of itself in the time for which connections
-// are kept. It guards against a daemon that holds a connection to most of the fleet because it draws other receivers
-// for each message: about 45 of its zone's 48 and 40 others in ten seconds.
+// TestDaemonTellsTheSameOthersForAWhile counts the receivers of one daemon's state in the time for
+// which connections are kept. It guards against a daemon that holds a connection to most of the fleet
+// because it picks other receivers for each message: about 45 of its zone's 48 and 40 others in ten
+// seconds.
 func TestDaemonTellsTheSameOthersForAWhile(t *testing.T) {
-	const daemons, most = 240, 60
+	const daemons, maxReceivers = 240, 60
 	w := newWorld(daemons)
 	w.rebuild(func(i int, self *member.Member, settings *coordination.Settings) {
 		self.Zone, settings.Lease.OrderPause = zoneOfNode(i), 0
@@ -22,21 +23,21 @@
 	clear(w.heardLoad)
 	w.run(10 * time.Second)
 	receivers := map[string]int{}
-	heard := map[string]int{}
+	senders := map[string]int{}
 	for pair := range w.heardLoad {
 		receivers[pair[0]]++
-		heard[pair[1]]++
+		senders[pair[1]]++
 	}
 	for _, name := range w.names() {
 		if w.nodes[name].Watching(w.now) || w.nodes[name].Group().Dispatching {
-			// They tell more, for all.
+			// These daemons send to more receivers, on behalf of all.
 			continue
 		}
-		if receivers[name] > most {
-			t.Errorf("%s has told %d others", name, receivers[name])
+		if receivers[name] > maxReceivers {
+			t.Errorf("%s has sent its state to %d others", name, receivers[name])
 		}
-		if heard[name] < 5 {
-			t.Errorf("%s was told by %d others", name, heard[name])
+		if senders[name] < 5 {
+			t.Errorf("%s has received the state of %d others", name, senders[name])
 		}
 	}
 }
--- a/coordination/removal_test.go
+++ b/coordination/instance_removal_test.go
@@ -26,8 +26,9 @@
 	return feed.Batch[*fleet.Instance]{At: history.At(0, at), Items: items}
 }
 
-// watcherOf returns a world of three nodes of which one watches the store, and its name.
-func watcherOf() (w *world, watcher string, others []string) {
+// singleWatcherWorld returns a world of three nodes of which one watches the store, and the names of
+// the watcher and the others.
+func singleWatcherWorld() (w *world, watcher string, others []string) {
 	w = newWorld(3)
 	w.setWatchers(1)
 	w.run(3 * time.Second)
@@ -56,10 +57,11 @@
 	}
 }
 
-// TestRemovalBetweenFirstListsReachesAll guards against daemons that go on using a server which was taken out of the
-// store after their own first list and before that of the daemon that tells them of changes.
+// TestRemovalBetweenFirstListsReachesAll guards against daemons that continue to use a removed server.
+// It was removed from the store after their own first list and before that of the daemon that sends
+// them changes.
 func TestRemovalBetweenFirstListsReachesAll(t *testing.T) {
-	w, watcher, others := watcherOf()
+	w, watcher, others := singleWatcherWorld()
 	w.list(others[0], entries(2, entry("a", 1), entry("b", 2)))
 	w.list(others[1], entries(4, entry("b", 2), entry("c", 3)))
 	w.run(time.Second)
@@ -69,9 +71,9 @@
 	w.checkInUse(t, "c")
 }
 
-// TestRemovalBetweenFirstListsReachesAllInQuiet is the same where nothing else changes afterwards.
+// TestRemovalBetweenFirstListsReachesAllInQuiet covers the same case without any later change.
 func TestRemovalBetweenFirstListsReachesAllInQuiet(t *testing.T) {
-	w, watcher, others := watcherOf()
+	w, watcher, others := singleWatcherWorld()
 	w.list(others[0], entries(3, entry("a", 1), entry("b", 2), entry("c", 3)))
 	w.list(others[1], entries(5, entry("c", 3)))
 	w.list(watcher, entries(5, entry("c", 3)))
@@ -79,10 +81,10 @@
 	w.checkInUse(t, "c")
 }
 
-// TestChangeWhileAListIsReadReachesAll guards against daemons that never hear of a change of an instance on the first
-// page of their list, since a later page was newer than that change.
+// TestChangeWhileAListIsReadReachesAll guards against daemons that miss a change of an instance on the
+// first page of their list because a later page was newer than that change.
 func TestChangeWhileAListIsReadReachesAll(t *testing.T) {
-	w, watcher, others := watcherOf()
+	w, watcher, others := singleWatcherWorld()
 	left := entry("a", 6)
 	left.Value.Leaving = true
 	w.list(watcher, entries(5, entry("a", 1), entry("b", 2)))
@@ -93,10 +95,10 @@
 	w.checkInUse(t, "b", "c")
 }
 
-// TestLateAnswerDoesNotBringBackWhatWasRemoved guards against daemons that use a removed server again since another
-// daemon's answer was on its way when they heard of the removal.
+// TestLateAnswerDoesNotBringBackWhatWasRemoved guards against daemons that use a removed server again
+// because another daemon's response was in transit when they received the removal.
 func TestLateAnswerDoesNotBringBackWhatWasRemoved(t *testing.T) {
-	w, watcher, others := watcherOf()
+	w, watcher, others := singleWatcherWorld()
 	for _, name := range w.names() {
 		w.list(name, entries(2, entry("b", 2)))
 	}
@@ -111,10 +113,11 @@
 	w.checkInUse(t, "b")
 }
 
-// TestRemovalInAGapOfTheHistoryReachesAll guards against daemons that go on using an instance which came and went while
-// the one that tells them of changes had lost the store's history.
+// TestRemovalInAGapOfTheHistoryReachesAll guards against daemons that continue to use a removed
+// instance. It was added and removed while the daemon that sends them changes had lost the store's
+// history.
 func TestRemovalInAGapOfTheHistoryReachesAll(t *testing.T) {
-	w, watcher, others := watcherOf()
+	w, watcher, others := singleWatcherWorld()
 	for _, name := range w.names() {
 		w.list(name, entries(2, entry("b", 2)))
 	}
@@ -125,10 +128,11 @@
 	w.checkInUse(t, "b", "c")
 }
 
-// TestZoneTakenBackBetweenFirstListsIsUsedByAll guards against daemons that go on keeping requests from a zone whose
-// evacuation was taken back after their own first list and before those of the daemons that watch the store.
+// TestZoneTakenBackBetweenFirstListsIsUsedByAll guards against daemons that continue to send no
+// requests to a zone whose evacuation was revoked. The revocation came after their own first list and
+// before those of the daemons that watch the store.
 func TestZoneTakenBackBetweenFirstListsIsUsedByAll(t *testing.T) {
-	w, watcher, others := watcherOf()
+	w, watcher, others := singleWatcherWorld()
 	evacuated := feed.Item[fleet.Evacuation]{Name: "z1", Place: history.At(0, 3), Value: fleet.Evacuation{Zone: "z1"}}
 	list := func(name string, at uint64, items ...feed.Item[fleet.Evacuation]) {
 		w.perform(name, w.nodes[name].EvacuationsListed(w.now, feed.Batch[fleet.Evacuation]{At: history.At(0, at), Items: items}))
@@ -139,7 +143,7 @@
 	w.run(2 * time.Second)
 	for _, name := range w.names() {
 		if zones := w.nodes[name].EvacuatedZones(); zones != 0 {
-			t.Errorf("%s keeps requests from %d zones", name, zones)
+			t.Errorf("%s counts %d zones as evacuated", name, zones)
 		}
 	}
 }
--- a/coordination/parking_test.go
+++ b/coordination/parking_test.go
@@ -10,8 +10,9 @@
 	"github.com/wheatweir/wheatweir/fleet"
 )
 
-// TestIdleModelIsParkedForRefusedRequests guards against placement that does not hear of refused requests, or of how long
-// clients wait. The requests in progress alone are too few to park a model for.
+// TestIdleModelIsParkedForRefusedRequests guards against placement that does not receive the rate of
+// refused requests, or how long clients wait. A parked model is unloaded while it is idle, to free
+// capacity for another one. The requests in progress alone are too few to park a model.
 func TestIdleModelIsParkedForRefusedRequests(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -26,7 +27,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(1)
-			w.reports = map[string]fleet.Report{"i1": holding("m", "n"), "i2": holding("o", "p")}
+			w.reports = map[string]fleet.Report{"i1": reportHolding("m", "n"), "i2": reportHolding("o", "p")}
 			w.perform("n0", w.nodes["n0"].ConfigurationLearned(parkingConfiguration(c.latency)))
 			batch := listing(5, "i1", "i2")
 			for _, item := range batch.Items {
@@ -34,11 +35,11 @@
 			}
 			w.perform("n0", w.nodes["n0"].InstancesListed(w.now, batch))
 			models := []coordination.ModelLoad{{Service: "llm", Model: "m", Requests: 6, PerSecond: 20, Refused: c.refused}}
-			most := 0
+			maxParked := 0
 			for end := w.now.Add(10 * time.Second); w.now.Before(end); w.now = w.now.Add(50 * time.Millisecond) {
 				w.perform("n0", w.nodes["n0"].ObserveOwn(w.now, map[string]balance.Load{}, models, coordination.UrgencyNone))
 				w.perform("n0", w.nodes["n0"].Tick(w.now))
-				most = max(most, w.nodes["n0"].ParkedModels())
+				maxParked = max(maxParked, w.nodes["n0"].ParkedModels())
 			}
 			ordered := 0
 			for _, sent := range w.orders {
@@ -46,15 +47,15 @@
 					ordered++
 				}
 			}
-			if parks := ordered > 0 && most == 1; parks != c.parks {
-				t.Errorf("%d orders, %d models parked; all orders: %v", ordered, most, w.orders)
+			if parks := ordered > 0 && maxParked == 1; parks != c.parks {
+				t.Errorf("%d orders, %d models parked; all orders: %v", ordered, maxParked, w.orders)
 			}
 		})
 	}
 }
 
-// holding is the report of a server with models, and with copies of all.
-func holding(models ...string) fleet.Report {
+// reportHolding is the report of an instance that serves some models and has copies of all models.
+func reportHolding(models ...string) fleet.Report {
 	report := fleet.Report{Sequence: 4, AtHand: []string{"m", "n", "o", "p"}}
 	for _, model := range models {
 		report.Residents = append(report.Residents, fleet.Resident{Model: model})
@@ -62,7 +63,8 @@
 	return report
 }
 
-// parkingConfiguration has four models that take a second to load, and a stream route with a target latency.
+// parkingConfiguration has four models that take a second to load, and a stream route with a target
+// latency.
 func parkingConfiguration(latency time.Duration) *fleet.Configuration {
 	engine := &fleet.Engine{Slots: 8, WeightsMB: 100, AdapterSlots: 2, LoadsPerSecond: 1}
 	for _, name := range []string{"m", "n", "o", "p"} {
--- a/coordination/foreign_test.go
+++ b/coordination/receive_test.go
@@ -12,7 +12,8 @@
 	"github.com/wheatweir/wheatweir/history"
 )
 
-// FuzzReceive has a node take in messages of any content: it takes what it can use, and goes on.
+// FuzzReceive has a node process messages with arbitrary content. The node uses what is valid and
+// continues to work.
 func FuzzReceive(f *testing.F) {
 	for _, message := range []coordination.Message{
 		{From: "n1"},
@@ -38,13 +39,13 @@
 		w.perform("n0", w.nodes["n0"].Receive(w.now, message))
 		w.run(300 * time.Millisecond)
 		if !w.nodes["n0"].Known() {
-			t.Error("the node has forgotten what it knew")
+			t.Error("the node has lost its data")
 		}
 	})
 }
 
-// TestInstanceThatIsListedAgainIsHeardOf has an entry lapse and come back, as after an outage of
-// the store: reports of the server count again.
+// TestInstanceThatIsListedAgainIsHeardOf covers an entry that expires and is listed again, as after an
+// outage of the store. Reports on the instance are accepted again.
 func TestInstanceThatIsListedAgainIsHeardOf(t *testing.T) {
 	w := newWorld(1)
 	w.learn()
@@ -54,11 +55,11 @@
 	w.perform("n0", node.InstancesChanged(w.now, gone))
 	w.perform("n0", node.Receive(w.now, coordination.Message{From: "n1", Facts: fact}))
 	if node.KnowsReport("i1") {
-		t.Fatal("what is told of a server that is gone counts")
+		t.Fatal("a report on an instance that is gone is accepted")
 	}
 	w.perform("n0", node.InstancesChanged(w.now, listing(8, "i1")))
 	w.perform("n0", node.Receive(w.now, coordination.Message{From: "n1", Facts: fact}))
 	if !node.KnowsReport("i1") {
-		t.Error("what is told of a server that is back does not count")
+		t.Error("a report on an instance that is listed again is ignored")
 	}
 }
--- a/coordination/refused_test.go
+++ b/coordination/refused_requests_test.go
@@ -8,7 +8,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// TestBadRatesOfRefusedRequestsCountAsNothing guards against one daemon's bad number that spoils the sum over all.
+// TestBadRatesOfRefusedRequestsCountAsNothing guards against an invalid number of one daemon that
+// spoils the sum over all.
 func TestBadRatesOfRefusedRequestsCountAsNothing(t *testing.T) {
 	infinite, none := float32(math.Inf(1)), float32(math.NaN())
 	cases := []struct {
@@ -40,7 +41,8 @@
 	}
 }
 
-// TestRefusedRequestsReachTheHolder guards against a rate that is lost where a dispatcher adds up its group, or on the way.
+// TestRefusedRequestsReachTheHolder guards against a rate that is lost where a dispatcher sums up its
+// group, or in the encoding.
 func TestRefusedRequestsReachTheHolder(t *testing.T) {
 	sums := map[modelKey]ModelLoad{}
 	for range 3 {
--- a/coordination/reports.go
+++ b/coordination/report_polling.go
@@ -6,19 +6,19 @@
 	"github.com/wheatweir/wheatweir/fleet"
 )
 
-// reportState is when to ask one model server next.
+// reportState is the state of polling the reports of one instance.
 type reportState struct {
-	next   time.Time
-	asking bool
-	// restUntil is when a rest ends that the server asked this daemon for.
-	restUntil time.Time
-	// unanswered says that the last question was not answered.
+	next    time.Time
+	pending bool
+	// backoffUntil is when a backoff ends that the instance requested from this daemon.
+	backoffUntil time.Time
+	// unanswered means that the last poll was not answered.
 	unanswered bool
-	// sent is the last fact that was told to the other daemons.
+	// sent is the last residency report that was broadcast to the other daemons.
 	sent Fact
 }
 
-// tickReports asks model servers, if this daemon sends the orders.
+// tickReports polls the reports of all instances, if this daemon sends the orders.
 func (n *Node) tickReports(now time.Time) {
 	if !n.held {
 		return
@@ -32,20 +32,21 @@
 		if !engines[instance.Service] || n.evacuated(instance.Zone) {
 			continue
 		}
-		state := n.reportOf(instance.ID)
-		if !state.asking && !now.Before(state.next) && !now.Before(state.restUntil) {
-			state.asking = true
+		state := n.reportStateOf(instance.ID)
+		if !state.pending && !now.Before(state.next) && !now.Before(state.backoffUntil) {
+			state.pending = true
 			n.do(AskReport{Instance: instance.ID, Address: instance.Address})
 		}
 	}
 }
 
-// reportPause is the time between two questions to a model server that is at rest: one daemon asks all of them.
-func (n *Node) reportPause() time.Duration {
+// pollInterval returns the interval between two polls of an idle instance. It grows with the number of
+// instances, since one daemon polls all of them.
+func (n *Node) pollInterval() time.Duration {
 	return max(n.settings.ReportEvery, time.Duration(len(n.reports))*n.settings.ReportCost)
 }
 
-func (n *Node) reportOf(instance string) *reportState {
+func (n *Node) reportStateOf(instance string) *reportState {
 	state := n.reports[instance]
 	if state == nil {
 		state = &reportState{}
@@ -54,27 +55,27 @@
 	return state
 }
 
-// InstanceRests takes in that an instance wants nothing from this daemon for a while: no questions and no
-// orders either.
+// InstanceRests records that an instance requested a backoff: this daemon sends it neither polls nor
+// orders until then.
 func (n *Node) InstanceRests(instance string, until time.Time) []Action {
 	if _, listed := n.instances.Get(instance); listed {
-		n.reportOf(instance).restUntil = until
+		n.reportStateOf(instance).backoffUntil = until
 		n.book.LeaveAlone(instance, until)
 	}
 	return n.take()
 }
 
-// ReportAnswered takes in a report, or that there was none.
+// ReportAnswered processes a report, or a poll that was not answered.
 func (n *Node) ReportAnswered(askedAt, now time.Time, instance string, report fleet.Report, ok bool) []Action {
 	state := n.reports[instance]
 	if state == nil {
 		return n.take()
 	}
-	state.asking = false
-	state.next = now.Add(n.reportPause())
+	state.pending = false
+	state.next = now.Add(n.pollInterval())
 	if state.unanswered == ok {
 		state.unanswered = !ok
-		n.decide("instances", "Question to a model server.", "instance", instance, "answered", ok)
+		n.decide("instances", "Report polls of an instance started or stopped being answered.", "instance", instance, "answered", ok)
 	}
 	if !ok {
 		n.book.Unanswered(askedAt, instance)
--- a/coordination/reports_test.go
+++ b/coordination/report_polling_test.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// TestHolderAsksABoundedNumberOfServersASecond guards against a holder that asks each of thousands of servers once a
-// second.
+// TestHolderAsksABoundedNumberOfServersASecond guards against a holder that polls each of thousands of
+// servers once a second.
 func TestHolderAsksABoundedNumberOfServersASecond(t *testing.T) {
-	const servers, mostPerSecond = 4000, 1200
+	const servers, maxPollsPerSecond = 4000, 1200
 	w := newWorld(1)
 	w.learnServers(servers)
 	w.run(6 * time.Second)
 	clear(w.reportsAsked)
-	const span = 8
-	w.run(span * time.Second)
-	asked := 0
+	const seconds = 8
+	w.run(seconds * time.Second)
+	polls := 0
 	for _, count := range w.reportsAsked {
-		asked += count
+		polls += count
 	}
 	if len(w.reportsAsked) < servers {
-		t.Errorf("%d of %d servers were asked", len(w.reportsAsked), servers)
+		t.Errorf("%d of %d servers were polled", len(w.reportsAsked), servers)
 	}
-	if asked > span*mostPerSecond {
-		t.Errorf("%d questions in %d s", asked, span)
+	if polls > seconds*maxPollsPerSecond {
+		t.Errorf("%d polls in %d s", polls, seconds)
 	}
 }
--- a/coordination/facts.go
+++ b/coordination/residency_reports.go
@@ -11,23 +11,23 @@
 	"github.com/wheatweir/wheatweir/fleet"
 )
 
-// fact is the newest report of a model server that is known here.
+// fact is the newest residency report of an instance that is known here, with the time of the report.
 type fact struct {
 	Fact
 	at time.Time
 }
 
-// goneSpan is how long it is remembered that an instance is gone, unless the list shows it again:
-// a server that does not reach the store for a while is taken off it.
-const goneSpan = time.Minute
+// goneTTL is how long it is remembered that an instance is gone, unless the list shows it again. A
+// server that can't reach the store for a while is removed from the list.
+const goneTTL = time.Minute
 
-// factBook holds the newest fact of each instance.
+// factBook is a cache of the newest residency report of each instance.
 type factBook struct {
 	byInstance map[string]fact
-	// gone holds since when instances are known to be gone: what others still tell of
-	// them is no news.
+	// gone holds the time at which instances were removed. Reports of other daemons on these instances
+	// are outdated and ignored.
 	gone map[string]time.Time
-	// digest is equal at daemons that know the same facts.
+	// digest is equal at daemons that hold the same reports.
 	digest uint64
 }
 
@@ -35,10 +35,10 @@
 	return factBook{byInstance: map[string]fact{}, gone: map[string]time.Time{}}
 }
 
-func (b *factBook) put(told fact) {
-	b.drop(told.Instance)
-	b.byInstance[told.Instance] = told
-	b.digest ^= told.hash()
+func (b *factBook) put(report fact) {
+	b.drop(report.Instance)
+	b.byInstance[report.Instance] = report
+	b.digest ^= report.hash()
 }
 
 func (b *factBook) drop(instance string) {
@@ -48,27 +48,27 @@
 	}
 }
 
-// lose notes that an instance is gone.
+// lose records that an instance is gone.
 func (b *factBook) lose(now time.Time, instance string) {
 	b.drop(instance)
-	maps.DeleteFunc(b.gone, func(_ string, since time.Time) bool { return now.Sub(since) > goneSpan })
+	maps.DeleteFunc(b.gone, func(_ string, since time.Time) bool { return now.Sub(since) > goneTTL })
 	b.gone[instance] = now
 }
 
 func (f *fact) hash() uint64 { return xxhash.Sum64String(f.Instance) * (2*f.Sequence + 1) }
 
-// learn takes in a fact about a model server.
-func (n *Node) learn(told Fact, at time.Time) {
-	if _, gone := n.facts.gone[told.Instance]; gone {
+// learn merges a residency report of an instance.
+func (n *Node) learn(report Fact, at time.Time) {
+	if _, gone := n.facts.gone[report.Instance]; gone {
 		return
 	}
-	known, found := n.facts.byInstance[told.Instance]
-	if found && (told.Sequence < known.Sequence || told.Sequence == known.Sequence && at.Before(known.at)) {
+	known, found := n.facts.byInstance[report.Instance]
+	if found && (report.Sequence < known.Sequence || report.Sequence == known.Sequence && at.Before(known.at)) {
 		return
 	}
-	n.facts.put(fact{Fact: told, at: at})
-	if !found || !sameResidents(known.Residents, told.Residents) {
-		n.changed[told.Instance] = true
+	n.facts.put(fact{Fact: report, at: at})
+	if !found || !sameResidents(known.Residents, report.Residents) {
+		n.changed[report.Instance] = true
 	}
 }
 
@@ -89,19 +89,19 @@
 	return true
 }
 
-// FactOf returns what the newest report of an instance said, if one is known here.
+// FactOf returns the newest residency report of an instance, if one is known here.
 func (n *Node) FactOf(instance string) (Fact, bool) {
 	known, found := n.facts.byInstance[instance]
 	return known.Fact, found
 }
 
-// KnowsReport reports whether a report of an instance is known here.
+// KnowsReport reports whether a residency report of an instance is known here.
 func (n *Node) KnowsReport(instance string) bool {
 	_, found := n.facts.byInstance[instance]
 	return found
 }
 
-// TakeView returns a new snapshot if anything has changed since the last one.
+// TakeView returns the current snapshot, and whether it differs from the last one.
 func (n *Node) TakeView() (*fleet.View, bool) {
 	before := n.view
 	if n.instances.Known() && n.evacuationsKnown() {
@@ -113,12 +113,12 @@
 	return n.view, n.view != before
 }
 
-// takeChanged returns the instances that changed since the last snapshot, and the IDs of
-// those that are gone.
+// takeChanged returns the instances that changed since the last snapshot, and the IDs of those that are
+// gone.
 func (n *Node) takeChanged() (changed []*fleet.Instance, gone []string) {
 	for id := range n.changed {
 		if listed, found := n.instances.Get(id); found {
-			changed = append(changed, n.merged(listed))
+			changed = append(changed, n.withReportedResidents(listed))
 		} else {
 			gone = append(gone, id)
 		}
@@ -127,15 +127,15 @@
 	return changed, gone
 }
 
-// listLag is how much older than a report the list may be when it arrives.
-const listLag = 1500 * time.Millisecond
+// maxListLag is by how much a list may be older than a report that was made before the list arrives.
+const maxListLag = 1500 * time.Millisecond
 
-// merged is an instance with what its newest report says it holds. A report is
-// believed over the list unless the list told something new well after it.
-func (n *Node) merged(listed *fleet.Instance) *fleet.Instance {
+// withReportedResidents returns an instance with the residents of its newest report. The report takes
+// precedence over the list, unless the list brought a change well after the report.
+func (n *Node) withReportedResidents(listed *fleet.Instance) *fleet.Instance {
 	listed = n.inUse(listed)
 	known, found := n.facts.byInstance[listed.ID]
-	if !found || known.at.Add(listLag).Before(n.listedAt[listed.ID]) {
+	if !found || known.at.Add(maxListLag).Before(n.listedAt[listed.ID]) {
 		return listed
 	}
 	copied := *listed
@@ -143,22 +143,22 @@
 	return &copied
 }
 
-// tellFact tells the other daemons what a server serves, if that is news.
+// tellFact broadcasts the residents of an instance to the other daemons, if they have changed.
 func (n *Node) tellFact(now, at time.Time, instance string, sequence uint64) {
 	state := n.reports[instance]
-	told := Fact{Instance: instance, Sequence: sequence, Residents: n.book.Residents(instance)}
-	n.learn(told, at)
-	if state == nil || told.Sequence == state.sent.Sequence && sameResidents(told.Residents, state.sent.Residents) {
+	report := Fact{Instance: instance, Sequence: sequence, Residents: n.book.Residents(instance)}
+	n.learn(report, at)
+	if state == nil || report.Sequence == state.sent.Sequence && sameResidents(report.Residents, state.sent.Residents) {
 		return
 	}
-	state.sent = told
+	state.sent = report
 	n.spreading.due[instance] = true
 	if now.Sub(n.spreading.sentAt) >= n.settings.SpreadSoon {
 		n.spread(now)
 	}
 }
 
-// allFacts lists what is known of all model servers.
+// allFacts returns the residency reports of all instances.
 func (n *Node) allFacts(now time.Time) []Fact {
 	facts := make([]Fact, 0, len(n.facts.byInstance))
 	for instance := range n.facts.byInstance {
@@ -168,10 +168,10 @@
 	return facts
 }
 
-// agedFact is a fact with its present age.
+// agedFact returns a residency report with its present age.
 func (n *Node) agedFact(now time.Time, instance string) Fact {
 	known := n.facts.byInstance[instance]
-	told := known.Fact
-	told.Age = now.Sub(known.at)
-	return told
+	report := known.Fact
+	report.Age = now.Sub(known.at)
+	return report
 }
--- a/coordination/era_test.go
+++ b/coordination/store_era_test.go
@@ -25,7 +25,7 @@
 	return batch
 }
 
-// inUse are the instances that a node would send to.
+// inUse returns the instances that a node would send requests to.
 func (w *world) inUse(name string, ids ...string) []string {
 	view, _ := w.nodes[name].TakeView()
 	var used []string
@@ -37,7 +37,7 @@
 	return used
 }
 
-// eraWorld is a fleet of which every node knows the same list.
+// eraWorld is a fleet of which every node has the same list.
 func eraWorld(count int, entries ...string) *world {
 	w := newWorld(count)
 	w.restore(1)
@@ -49,12 +49,12 @@
 	return w
 }
 
-// restore begins an era of the store. It has lost nothing of the lease.
+// restore begins an era of the store. The lease record is kept.
 func (w *world) restore(era uint64) {
 	w.era, w.stored.At.Era = era, era
 }
 
-// fromStore has each node that watches the store take in what that says.
+// fromStore has each node that watches the store process an update of it.
 func (w *world) fromStore(take func(node *coordination.Node) []coordination.Action) {
 	for _, name := range w.names() {
 		if w.nodes[name].Watching(w.now) {
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestInstancesThatACopyLacksStayForAWhile has the store come back from a copy that is older than one of
-// two instances. Daemons that watch it tell the others.
+// TestInstancesThatACopyLacksStayForAWhile covers a store that is restored from a copy which is older
+// than one of two instances. The daemons that watch the store update the others.
 func TestInstancesThatACopyLacksStayForAWhile(t *testing.T) {
 	for _, again := range []bool{true, false} {
 		t.Run(fmt.Sprint("written again: ", again), func(t *testing.T) {
@@ -76,10 +76,10 @@
 			w.run(time.Second)
 			for _, name := range w.names() {
 				if at := w.nodes[name].InstancesAt(); at != history.At(2, 80) {
-					t.Errorf("%s is at %v", name, at)
+					t.Errorf("%s has the instances at %v", name, at)
 				}
 				if used := w.inUse(name, "i1", "i2"); len(used) != 2 {
-					t.Errorf("%s uses %v a second after the store was back", name, used)
+					t.Errorf("%s uses %v a second after the restore", name, used)
 				}
 			}
 			if again {
@@ -101,7 +101,8 @@
 	}
 }
 
-// TestEraIsToldOnce covers the log of a store that comes back from a copy: each daemon says so in one line.
+// TestEraIsToldOnce covers the log after a restore of the store: each daemon writes exactly one line
+// about it.
 func TestEraIsToldOnce(t *testing.T) {
 	w := eraWorld(9, "i1")
 	watcher := w.pickByWatch(true)
@@ -109,22 +110,23 @@
 	w.perform(watcher, w.nodes[watcher].EraLearned(w.now, 2))
 	w.perform(watcher, w.nodes[watcher].InstancesListed(w.now, listed(2, 80, "i1")))
 	w.run(3 * time.Second)
-	told := map[string]int{}
+	lines := map[string]int{}
 	for _, line := range w.decisions {
 		if name, rest, _ := strings.Cut(line, " "); strings.HasPrefix(rest, "store ") {
-			told[name]++
+			lines[name]++
 		}
 	}
 	for _, name := range w.names() {
-		if told[name] != 1 {
-			t.Errorf("%s tells %d times that the store came back", name, told[name])
+		if lines[name] != 1 {
+			t.Errorf("%s logs %d times that the store was restored", name, lines[name])
 		}
 	}
 }
 
-// TestDeparturesSurviveARestore covers instances that were leaving or gone before the store came back from
-// a copy that shows them as ready: the one that said it leaves stays so, also if its entry is written again,
-// and the one that was gone is used again once its server has written or its entry has stayed.
+// TestDeparturesSurviveARestore covers instances that were leaving or gone before the store was
+// restored from a copy that shows them as ready. An instance that announced that it leaves stays out of
+// use, even if its entry is written again. One that was gone is used again once its server has written
+// its entry, or the entry has remained for a while.
 func TestDeparturesSurviveARestore(t *testing.T) {
 	const gone, leaving = "i1", "i2"
 	restored := func(t *testing.T) *world {
--- /dev/null
+++ b/coordination/store_outage.go
@@ -0,0 +1,59 @@
+package coordination
+
+import "time"
+
+const (
+	// storeAwayReportTTL is how long another daemon's report on the store counts.
+	storeAwayReportTTL = time.Second
+	// outageOrderTTL is how long an order may take to be sent during an outage of the store.
+	outageOrderTTL = 300 * time.Millisecond
+)
+
+// mayOrder reports whether orders may be sent now, under which fencing token and until when. Usually
+// the lease decides that. While the store answers none of the live daemons, none of them can take over
+// the lease, so its last holder continues. A daemon that is cut off from all of them may still take
+// over the lease. Servers that check tokens then reject the orders of the old holder.
+func (n *Node) mayOrder(now time.Time) (fence uint64, until time.Time, ok bool) {
+	if fence, ok := n.lease.MayOrder(now); ok {
+		return fence, n.lease.ValidUntil(), true
+	}
+	fence, retained := n.lease.Retained()
+	if !retained || n.lease.Held(now) || !n.settings.ChecksFence || !n.storeAwayForAll(now) {
+		return 0, time.Time{}, false
+	}
+	return fence, now.Add(outageOrderTTL), true
+}
+
+// watcherReportTTL is how long an update from a daemon that watches the store counts.
+const watcherReportTTL = 1500 * time.Millisecond
+
+// HearsOfInstances reports whether this daemon receives new instances soon after others do. That holds
+// if it watches the store, if it receives updates from a daemon that does, or if the store answers
+// nobody.
+func (n *Node) HearsOfInstances(now time.Time) bool {
+	watches := n.Watching(now) && !n.sources[SourceInstances].unavailable
+	return watches || now.Sub(n.watcherAt) <= watcherReportTTL || n.storeAwayForAll(now)
+}
+
+// storeAway reports whether the store answers none of this daemon's reads.
+func (n *Node) storeAway() bool {
+	return n.sources[SourceConfiguration].unavailable && n.sources[SourceInstances].unavailable
+}
+
+// storeAwayForAll reports whether the store answers neither this daemon nor, by their reports, any
+// other live daemon.
+func (n *Node) storeAwayForAll(now time.Time) bool {
+	if !n.storeAway() {
+		return false
+	}
+	for _, name := range n.detector.Live() {
+		if name == n.self {
+			continue
+		}
+		peer, found := n.peers[name]
+		if !found || now.Sub(peer.at) > storeAwayReportTTL || !peer.load.StoreAway {
+			return false
+		}
+	}
+	return true
+}
