--- a/coordination/catch_up.go
+++ b/coordination/catch_up.go
@@ -103,6 +103,7 @@
 	}
 }
 
+// sourcesInOrder are the collections in the order in which a daemon catches up with them.
 var sourcesInOrder = [...]Source{SourceConfiguration, SourceInstances, SourceEvacuations}
 
 // versions returns the versions that this daemon has.
@@ -157,21 +158,21 @@
 
 // catchUp refreshes a collection from the store, or requests it from another daemon.
 func (n *Node) catchUp(now time.Time, source Source, state *sourceState) {
-	fromStore := n.catchesUpFromStore(now, state)
+	catchesUpFromStore := n.catchesUpFromStore(now, state)
 	interval, delay := n.queryInterval(state), time.Duration(0)
-	if fromStore {
+	if catchesUpFromStore {
 		interval, delay = minRefreshInterval, n.settings.RefreshAfter
 	}
 	if now.Sub(state.behindSince) < delay || now.Sub(state.lastAttemptAt) < interval {
 		return
 	}
 	state.lastAttemptAt = now
-	if fromStore || state.unavailable {
+	if catchesUpFromStore || state.unavailable {
 		n.decide(string(source), "Version older than another daemon's; refreshing from the store.", "own", n.ownVersion(source), "other", state.newest, "daemon", state.newestFrom,
 			"store_available", !state.unavailable)
 		n.do(Refresh{Source: source})
 	}
-	if fromStore {
+	if catchesUpFromStore {
 		return
 	}
 	if other, found := n.detector.Lookup(state.newestFrom); found {
@@ -315,7 +316,7 @@
 		answer.Configuration = n.configuration
 	}
 	if n.instances.Known() && n.hasChangesSince(SourceInstances, request.Instances) {
-		answer.Instances = n.listingSince(request.Instances)
+		answer.Instances = n.listing(request.Instances)
 	}
 	if n.evacuations.Known() && n.hasChangesSince(SourceEvacuations, request.Evacuations) {
 		answer.Evacuations = n.evacuationListing()
@@ -323,8 +324,8 @@
 	n.do(SendPeer{Address: other.PeerAddress, Message: answer})
 }
 
-// listingSince returns the changes after a place, or everything if the changes are no longer kept.
-func (n *Node) listingSince(since history.Place) *Listing {
+// listing returns the changes after a place, or everything if the changes are no longer kept.
+func (n *Node) listing(since history.Place) *Listing {
 	changes, available := n.instances.Since(since)
 	items := changes.Items
 	if !available {
--- a/coordination/cold_instances.go
+++ b/coordination/cold_instances.go
@@ -6,7 +6,7 @@
 	"github.com/wheatweir/wheatweir/fleet"
 )
 
-// LearnCold tells the driver that an instance is cold. A cold instance has just started and bears few
+// LearnCold makes the driver limit the requests to a cold instance. A cold instance has just started and bears few
 // requests: for the duration Left, all daemons together may send it at most PerSecond requests per
 // second.
 type LearnCold struct {
--- a/coordination/configuration_freshness.go
+++ b/coordination/configuration_freshness.go
@@ -92,8 +92,8 @@
 func (n *Node) SureSince() time.Time { return n.assured.at }
 
 // revokeFraction returns a fraction of the time within which a revoked key must stop working.
-func (n *Node) revokeFraction(ratio float64) time.Duration {
-	return time.Duration(ratio * float64(n.settings.RevokeWithin))
+func (n *Node) revokeFraction(revokeFraction float64) time.Duration {
+	return time.Duration(revokeFraction * float64(n.settings.RevokeWithin))
 }
 
 // tickAssurance keeps the proof recent that the configuration is the newest. The daemon of rank zero
@@ -207,6 +207,7 @@
 	return order[picked]
 }
 
+// liveOrder lists the live daemons in the order of their ranks.
 func (n *Node) liveOrder() []string {
 	revision := n.MembersRevision()
 	if n.order != nil && revision == n.orderAt {
@@ -334,5 +335,5 @@
 // had time to write the newest version again, and only if the store returns at least the version known
 // here.
 func (n *Node) provesNewest(read *Reading) bool {
-	return n.rewritten(read.BegunAt) && (n.eras.rises == 0 || read.Version >= n.configurationVersion())
+	return n.rewritten(read.BegunAt) && (n.eras.advanced == 0 || read.Version >= n.configurationVersion())
 }
--- a/coordination/configuration_freshness_test.go
+++ b/coordination/configuration_freshness_test.go
@@ -99,9 +99,9 @@
 }
 
 // maxAgeDuring runs a world and returns the maximum age in that time.
-func (w *world) maxAgeDuring(span time.Duration) time.Duration {
+func (w *world) maxAgeDuring(duration time.Duration) time.Duration {
 	oldest := time.Duration(0)
-	for end := w.now.Add(span); w.now.Before(end); {
+	for end := w.now.Add(duration); w.now.Before(end); {
 		w.run(50 * time.Millisecond)
 		oldest = max(oldest, w.maxAge())
 	}
--- a/coordination/evacuations_test.go
+++ b/coordination/evacuations_test.go
@@ -139,8 +139,8 @@
 // TestEvacuationOutlastsARestore covers a store that is restored from a copy which is older than an
 // evacuation.
 func TestEvacuationOutlastsARestore(t *testing.T) {
-	for _, again := range []bool{true, false} {
-		t.Run(fmt.Sprint("written again: ", again), func(t *testing.T) {
+	for _, rewritten := range []bool{true, false} {
+		t.Run(fmt.Sprint("written again: ", rewritten), func(t *testing.T) {
 			w := zonedWorld(9)
 			w.fromStore(func(node *coordination.Node) []coordination.Action {
 				return node.EvacuationsChanged(w.now, evacuated(1, 96, "a"))
@@ -152,13 +152,13 @@
 			})
 			w.run(time.Second)
 			w.wantInUse(t, "after the restore", "b")
-			if again {
+			if rewritten {
 				w.fromStore(func(node *coordination.Node) []coordination.Action {
 					return node.EvacuationsChanged(w.now, evacuated(2, 81, "a"))
 				})
 			}
 			w.run(3 * time.Second)
-			if again {
+			if rewritten {
 				w.wantInUse(t, "written again", "b")
 			} else {
 				w.wantInUse(t, "not written again", "a", "b")
--- a/coordination/gossip_peers.go
+++ b/coordination/gossip_peers.go
@@ -84,6 +84,7 @@
 	var next string
 	var nextAhead uint64
 	for _, name := range names {
+		// The unsigned difference wraps around the ring.
 		if ahead := xxhash.Sum64String(ring+"/"+name) - own; next == "" || ahead < nextAhead {
 			next, nextAhead = name, ahead
 		}
--- a/coordination/heard_members_test.go
+++ b/coordination/heard_members_test.go
@@ -7,8 +7,8 @@
 	"github.com/wheatweir/wheatweir/member"
 )
 
-// countAlive counts the daemons that a node considers alive, including itself.
-func (w *world) countAlive(name string) int {
+// aliveCount counts the daemons that a node considers alive, including itself.
+func (w *world) aliveCount(name string) int {
 	count := 0
 	for _, known := range w.nodes[name].HeardMembers(w.now) {
 		if known.State == member.Alive {
@@ -25,15 +25,15 @@
 	w := newWorld(9)
 	w.learn()
 	w.run(5 * time.Second)
-	if alive := w.countAlive("n0"); alive != 9 {
-		t.Fatalf("%d of 9 daemons count as alive", alive)
+	if aliveCount := w.aliveCount("n0"); aliveCount != 9 {
+		t.Fatalf("%d of 9 daemons count as alive", aliveCount)
 	}
 	for _, name := range w.names()[1:] {
 		w.dead[name] = true
 	}
 	w.run(1300 * time.Millisecond)
-	if alive := w.countAlive("n0"); alive != 1 {
-		t.Errorf("%d daemons count as alive, want 1 since the eight others are silent", alive)
+	if aliveCount := w.aliveCount("n0"); aliveCount != 1 {
+		t.Errorf("%d daemons count as alive, want 1 since the eight others are silent", aliveCount)
 	}
 	alive := 0
 	for _, known := range w.nodes["n0"].Members() {
--- a/coordination/observation_update_test.go
+++ b/coordination/observation_update_test.go
@@ -51,7 +51,7 @@
 }
 
 // TestCrashesAreKnownToAllInTime covers how soon all daemons receive a crash, with messages that take
-// up to 50 ms. It takes at most half a second at each size, where the platform allows three or four. No
+// up to 50 ms. It takes at maxByOne half a second at each size, where the platform allows three or four. No
 // daemon processes one message twice. The store answers nobody here, so nothing goes through it.
 func TestCrashesAreKnownToAllInTime(t *testing.T) {
 	for _, size := range []int{9, 69, 295} {
@@ -128,7 +128,7 @@
 }
 
 // BenchmarkNewsOfOneCrash measures the messages that the broadcast of one crash costs: all messages,
-// those of the daemon that sends most, and all messages in ten seconds without a crash.
+// those of the daemon that sends maxByOne, and all messages in ten seconds without a crash.
 func BenchmarkNewsOfOneCrash(b *testing.B) {
 	for _, size := range []int{30, 100, 300} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -140,12 +140,12 @@
 				}
 				w.broadcastCrash("n0", "server")
 				w.run(500 * time.Millisecond)
-				all, most := 0, 0
+				all, maxByOne := 0, 0
 				for _, count := range w.crashMessages {
-					all, most = all+count, max(most, count)
+					all, maxByOne = all+count, max(maxByOne, count)
 				}
 				b.ReportMetric(float64(all), "messages")
-				b.ReportMetric(float64(most), "most-by-one")
+				b.ReportMetric(float64(maxByOne), "most-by-one")
 				b.ReportMetric(float64(idle), "calm")
 			}
 		})
--- a/coordination/store_checks.go
+++ b/coordination/store_checks.go
@@ -17,9 +17,9 @@
 
 // question is a request of another daemon that had versions as new as those of this one.
 type question struct {
-	from     string
-	versions Versions
-	until    time.Time
+	from    string
+	request Versions
+	until   time.Time
 }
 
 // SourceOverdue reports that an answer of the store is overdue. The store may reject all daemons that
@@ -27,9 +27,9 @@
 // are asked to read the store.
 func (n *Node) SourceOverdue(source Source) []Action {
 	request := n.versionsQuery(source)
-	peers := n.storeCheckPeers()
-	n.decide(string(source), "Store response overdue; querying other daemons.", "own", n.ownVersion(source), "daemons", len(peers))
-	n.sendAll(peers, Message{From: n.self, Ask: &request})
+	storeCheckPeers := n.storeCheckPeers()
+	n.decide(string(source), "Store response overdue; querying other daemons.", "own", n.ownVersion(source), "daemons", len(storeCheckPeers))
+	n.sendAll(storeCheckPeers, Message{From: n.self, Ask: &request})
 	return n.take()
 }
 
@@ -52,7 +52,7 @@
 			continue
 		}
 		if len(n.questions) < maxPendingQueries {
-			n.questions = append(n.questions, question{from: from, versions: request.restrictedTo(source), until: now.Add(pendingQueryTTL)})
+			n.questions = append(n.questions, question{from: from, request: request.restrictedTo(source), until: now.Add(pendingQueryTTL)})
 		}
 		if now.Sub(state.refreshedForPeerAt) >= minRefreshInterval {
 			state.refreshedForPeerAt = now
@@ -88,11 +88,11 @@
 // tickQuestions answers the pending requests that can be answered now.
 func (n *Node) tickQuestions(now time.Time) {
 	n.questions = slices.DeleteFunc(n.questions, func(pending question) bool {
-		known := n.configurationVersion() > pending.versions.Configuration ||
-			n.ownVersion(SourceInstances).After(pending.versions.Instances) ||
-			n.ownVersion(SourceEvacuations).After(pending.versions.Evacuations)
+		known := n.configurationVersion() > pending.request.Configuration ||
+			n.ownVersion(SourceInstances).After(pending.request.Instances) ||
+			n.ownVersion(SourceEvacuations).After(pending.request.Evacuations)
 		if known {
-			n.answerAsk(pending.from, pending.versions)
+			n.answerAsk(pending.from, pending.request)
 		}
 		return known || now.After(pending.until)
 	})
--- a/coordination/store_era.go
+++ b/coordination/store_era.go
@@ -12,9 +12,9 @@
 type eraState struct {
 	known bool
 	era   uint64
-	// observedAt is when the era became known, and rises counts the changes to a newer era.
+	// observedAt is when the era became known, and advanced counts the changes to a newer era.
 	observedAt time.Time
-	rises      uint64
+	advanced   uint64
 	// earlierUntil is until when instances and evacuations are kept that only an earlier era reported;
 	// zero if there are none.
 	earlierUntil time.Time
@@ -45,13 +45,13 @@
 	if state.known && era <= state.era {
 		return
 	}
-	newer := state.known
+	advanced := state.known
 	state.known, state.era, state.observedAt = true, era, now
 	n.lease.EraLearned(now, era)
-	if !newer {
+	if !advanced {
 		return
 	}
-	state.rises++
+	state.advanced++
 	n.decide("store", "Store restored from an earlier copy.", "era", era, "from", string(from), "instances_at", n.instances.At())
 	if n.Watching(now) {
 		n.do(Refresh{Source: SourceConfiguration})
--- a/coordination/store_era_test.go
+++ b/coordination/store_era_test.go
@@ -66,8 +66,8 @@
 // TestInstancesThatACopyLacksStayForAWhile covers a store that is restored from a copy which is older
 // than one of two instances. The daemons that watch the store update the others.
 func TestInstancesThatACopyLacksStayForAWhile(t *testing.T) {
-	for _, again := range []bool{true, false} {
-		t.Run(fmt.Sprint("written again: ", again), func(t *testing.T) {
+	for _, rewritten := range []bool{true, false} {
+		t.Run(fmt.Sprint("written again: ", rewritten), func(t *testing.T) {
 			w := eraWorld(9, "i1", "i2")
 			w.restore(2)
 			w.fromStore(func(node *coordination.Node) []coordination.Action {
@@ -82,14 +82,14 @@
 					t.Errorf("%s uses %v a second after the restore", name, used)
 				}
 			}
-			if again {
+			if rewritten {
 				w.fromStore(func(node *coordination.Node) []coordination.Action {
 					return node.InstancesChanged(w.now, listed(2, 81, "i2"))
 				})
 			}
 			w.run(3 * time.Second)
 			want := []string{"i1"}
-			if again {
+			if rewritten {
 				want = []string{"i1", "i2"}
 			}
 			for _, name := range w.names() {
@@ -149,10 +149,10 @@
 		})
 	}
 	cases := []struct {
-		name  string
-		after func(w *world)
-		span  time.Duration
-		want  []string
+		name     string
+		after    func(w *world)
+		duration time.Duration
+		want     []string
 	}{
 		{"a second later", func(*world) {}, 0, []string{"i0"}},
 		{"written again", written, time.Second, []string{"i0", gone}},
@@ -162,7 +162,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := restored(t)
 			c.after(w)
-			w.run(c.span)
+			w.run(c.duration)
 			for _, name := range w.names() {
 				if used := w.inUse(name, "i0", gone, leaving); !slices.Equal(used, c.want) {
 					t.Errorf("%s uses %v, want %v", name, used, c.want)
