--- a/coordination/observation_update_test.go
+++ b/coordination/observation_update_test.go
@@ -128,7 +128,7 @@
 }
 
 // BenchmarkNewsOfOneCrash measures the messages that the broadcast of one crash costs: all messages,
-// those of the daemon that sends maxByOne, and all messages in ten seconds without a crash.
+// those of the daemon that sends most, and all messages in ten seconds without a crash.
 func BenchmarkNewsOfOneCrash(b *testing.B) {
 	for _, size := range []int{30, 100, 300} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
