--- a/gateway/allowance.go
+++ b/gateway/allowance.go
@@ -8,30 +8,30 @@
 	"github.com/wheatweir/wheatweir/tenant"
 )
 
-// Use is what one run of a request takes of its tenant's limit.
+// Use is the amount of its tenant's limit that one run of a request consumes.
 type Use struct {
 	Tenant *tenant.Tenant
 	Cost   float64
 }
 
-// Allowance is the answer to a request for use.
+// Allowance is the result of Quotas.Take.
 type Allowance struct {
 	Granted bool
-	// Unsure says that nobody could tell whether the limit is used up.
+	// Unsure says that it could not be determined whether the limit is used up.
 	Unsure bool
-	// RetryAfter is when there will be something left, if the limit is used up.
+	// RetryAfter is the time until some of the limit is available again, if it is used up.
 	RetryAfter time.Duration
 }
 
-// Quotas tells whether tenants may use more. It must be safe for concurrent use.
+// Quotas enforces the limits of tenants. It must be safe for concurrent use.
 type Quotas interface {
 	Take(ctx context.Context, use Use) Allowance
-	// Return gives back what was taken a moment ago and is not used.
+	// Return refunds an amount that was taken a moment ago and is not used.
 	Return(use Use)
 }
 
-// allow takes what the next run of the request uses of its tenant's limit, unless it has it
-// already. It returns why the request may not run, or nothing.
+// allow charges the next run of the request to its tenant's limit, unless the request holds a valid allowance
+// already. It returns the reason why the request may not run, or an empty one.
 func (e *exchange) allow(ctx context.Context) Reason {
 	quotas := e.gateway.settings.Quotas
 	if quotas == nil || e.tenant == nil || !e.tenant.Limit.Limited() {
@@ -55,8 +55,9 @@
 	}
 }
 
-// returnAllowance gives back an allowance that no run has used. One that is older than its
-// span is lost: who used it now would do so on top of what has been allowed since.
+// returnAllowance refunds an allowance that no run has used. An allowance older than
+// quota.AllowanceSpan has expired and is not refunded: a request that used the amount now would exceed the limit, since
+// other requests have been allowed in the meantime.
 func (e *exchange) returnAllowance() {
 	if e.allowedAt.IsZero() || e.since(e.allowedAt) >= quota.AllowanceSpan {
 		return
@@ -65,8 +66,8 @@
 	e.gateway.settings.Quotas.Return(e.use)
 }
 
-// returnBeforeLoss gives back an allowance that would grow too old during a pause: the request takes a new one when it
-// is sent, and its tenant is charged once.
+// returnBeforeLoss refunds an allowance that would expire during a pause. The request takes a new one when it
+// is sent, so that its tenant is charged only once.
 func (e *exchange) returnBeforeLoss(pause time.Duration) {
 	if !e.allowedAt.IsZero() && e.since(e.allowedAt)+pause >= quota.AllowanceSpan {
 		e.returnAllowance()
--- a/gateway/benchmark_test.go
+++ b/gateway/benchmark_test.go
@@ -11,20 +11,20 @@
 	"github.com/wheatweir/wheatweir/gateway"
 )
 
-// instantAnswer is an answer without a body.
-type instantAnswer struct{}
+// emptyAnswer is a gateway.Response without a body.
+type emptyAnswer struct{}
 
-func (instantAnswer) Status() int              { return 200 }
-func (instantAnswer) Header() []gateway.Field  { return nil }
-func (instantAnswer) Length() int64            { return 0 }
-func (instantAnswer) Framing() gateway.Framing { return gateway.FramedByLength }
-func (instantAnswer) Executed() bool           { return true }
-func (instantAnswer) Misdirected() bool        { return false }
-func (instantAnswer) Signed() bool             { return true }
-func (instantAnswer) Read([]byte) (int, error) { return 0, io.EOF }
-func (instantAnswer) Close()                   {}
+func (emptyAnswer) Status() int              { return 200 }
+func (emptyAnswer) Header() []gateway.Field  { return nil }
+func (emptyAnswer) Length() int64            { return 0 }
+func (emptyAnswer) Framing() gateway.Framing { return gateway.FramedByLength }
+func (emptyAnswer) Executed() bool           { return true }
+func (emptyAnswer) Misdirected() bool        { return false }
+func (emptyAnswer) Signed() bool             { return true }
+func (emptyAnswer) Read([]byte) (int, error) { return 0, io.EOF }
+func (emptyAnswer) Close()                   {}
 
-// instantUpstream answers at once.
+// instantUpstream is a gateway.Upstream that answers immediately.
 type instantUpstream struct{}
 
 // HasConnection implements gateway.Upstream.
@@ -32,40 +32,40 @@
 
 // Send implements gateway.Upstream.
 func (instantUpstream) Send(context.Context, *gateway.Outbound) (gateway.Response, error) {
-	return instantAnswer{}, nil
+	return emptyAnswer{}, nil
 }
 
-// discard is a Reply that keeps nothing.
-type discard struct{}
+// discardReply is a gateway.Reply that discards everything.
+type discardReply struct{}
 
-func (discard) Begin(int, []gateway.Field, int64) error    { return nil }
-func (discard) Write([]byte) error                         { return nil }
-func (discard) Refuse(int, gateway.Reason, time.Duration)  {}
-func (discard) Abort()                                     {}
-func (silentDemand) Lacking(string, string, string) func() { return func() {} }
-func (silentDemand) Enter(string, string) func()           { return func() {} }
-func (silentDemand) Refused(string, string)                {}
+func (discardReply) Begin(int, []gateway.Field, int64) error   { return nil }
+func (discardReply) Write([]byte) error                        { return nil }
+func (discardReply) Refuse(int, gateway.Reason, time.Duration) {}
+func (discardReply) Abort()                                    {}
+func (silentDemand) Lacking(string, string, string) func()     { return func() {} }
+func (silentDemand) Enter(string, string) func()               { return func() {} }
+func (silentDemand) Refused(string, string)                    {}
 
-// silentDemand hears of nothing.
+// silentDemand is a gateway.Demand that ignores all reports.
 type silentDemand struct{}
 
-// servedAtOnce returns a function that serves a request at a free server, by an urgent or a background route.
-func servedAtOnce(route string) func() {
+// serveImmediately returns a function that serves a request at an idle instance, by the given route.
+func serveImmediately(route string) func() {
 	instances := []*fleet.Instance{{ID: "i1", Service: "svc", Slots: 64, Residents: []fleet.Resident{{Model: "m"}}}}
 	g := trackedGateway(instantUpstream{}, silentDemand{}, balance.NewTracker())
 	g.SetView(fleet.NewView(mixedConfiguration(), instances))
 	sent := mixedRequest(route, "r")
 	return func() {
 		sent.Arrived = time.Now()
-		g.Serve(context.Background(), sent, discard{})
+		g.Serve(context.Background(), sent, discardReply{})
 	}
 }
 
-// BenchmarkServe guards against a slower path of requests that do not wait, urgent ones and those that would yield.
+// BenchmarkServe measures requests that do not wait: urgent ones, and background requests, which would yield to them.
 func BenchmarkServe(b *testing.B) {
 	for name, route := range map[string]string{"urgent": "stream", "background": "resume"} {
 		b.Run(name, func(b *testing.B) {
-			serve := servedAtOnce(route)
+			serve := serveImmediately(route)
 			b.ReportAllocs()
 			for b.Loop() {
 				serve()
@@ -74,12 +74,13 @@
 	}
 }
 
-// TestYieldingAllocatesNothingUntilItWaits guards against a path that allocates for requests that find room at once.
+// TestYieldingAllocatesNothingUntilItWaits guards against extra allocations for background requests that find a free
+// slot at once.
 func TestYieldingAllocatesNothingUntilItWaits(t *testing.T) {
 	const runs = 200
-	urgent, background := testing.AllocsPerRun(runs, servedAtOnce("stream")), testing.AllocsPerRun(runs, servedAtOnce("resume"))
+	urgent, background := testing.AllocsPerRun(runs, serveImmediately("stream")), testing.AllocsPerRun(runs, serveImmediately("resume"))
 	if background > urgent {
-		t.Errorf("%v allocations, an urgent request makes %v", background, urgent)
+		t.Errorf("%v allocations for a background request, %v for an urgent one", background, urgent)
 	}
 }
 
--- a/gateway/brittle_test.go
+++ b/gateway/brittle_test.go
@@ -9,8 +9,8 @@
 	"github.com/wheatweir/wheatweir/gateway"
 )
 
-// TestInstancesWithoutRoom guards against requests that are sent to instances which fall over if they turn requests
-// away: another instance takes the request, or it is refused soon, while its client can still go elsewhere.
+// TestInstancesWithoutRoom guards against requests sent to full brittle instances, which fail when they have to reject
+// requests. Another instance takes the request, or it is rejected early, while its client can still use another server.
 func TestInstancesWithoutRoom(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -33,27 +33,28 @@
 					t.Errorf("sent %+v", upstream.sent)
 				}
 				if c.status == 503 && (reply.reason != gateway.ReasonOverloaded || len(upstream.sent) > 0) {
-					t.Errorf("refused as %q, sent %+v", reply.reason, upstream.sent)
+					t.Errorf("rejected as %q, sent %+v", reply.reason, upstream.sent)
 				}
 			})
 		})
 	}
 }
 
-// TestRefusalsForWantOfRoomAreNoted guards against refusals that nobody counts, and a missing model that counts as one.
+// TestRefusalsForWantOfRoomAreNoted guards against rejections for lack of slots that are not recorded, and against a
+// rejection for a missing model that is recorded as one of them.
 func TestRefusalsForWantOfRoomAreNoted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		notices := &fakeNotices{}
 		upstream := &script{answers: []answer{{status: 503, declined: true}, {status: 421, declined: true, misdirected: true}, {status: 200, body: "ok"}}}
 		_ = serveUnder(notices, upstream, request("unsafe"))
-		if len(upstream.sent) < 2 || !slices.Equal(notices.turnedAway, []string{upstream.sent[0].Instance.ID}) {
-			t.Errorf("noted %v of %d attempts", notices.turnedAway, len(upstream.sent))
+		if len(upstream.sent) < 2 || !slices.Equal(notices.rejectedBy, []string{upstream.sent[0].Instance.ID}) {
+			t.Errorf("recorded rejections by %v in %d attempts", notices.rejectedBy, len(upstream.sent))
 		}
 	})
 }
 
-// TestSlotsAreGivenBack guards against slots of an instance that are lost, or given back although the instance had less
-// room than was counted on.
+// TestSlotsAreGivenBack guards against slots of an instance that leak, and against slots released after the instance
+// rejected the request because it had fewer free slots than counted.
 func TestSlotsAreGivenBack(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -64,7 +65,7 @@
 		{"answered with an error", []answer{{status: 500}}, 1},
 		{"broken", []answer{{err: gateway.ErrUnknown.New("reset")}}, 1},
 		{"not sent", []answer{{err: gateway.ErrNotSent.New("refused")}}, 1},
-		{"turned away", []answer{{status: 503, declined: true}}, 0},
+		{"rejected", []answer{{status: 503, declined: true}}, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/gateway/identify.go
+++ b/gateway/identify.go
@@ -7,9 +7,9 @@
 	"github.com/wheatweir/wheatweir/tenant"
 )
 
-// identify finds the tenant of the request. It returns why the request may not be served, or
-// nothing. Sure says that a key that the snapshot knows is valid still; it must have been
-// looked at before the snapshot was taken.
+// identify determines the tenant of the request. It returns the reason why the request may not be served, or
+// an empty one. The parameter sure says that the configuration is recent enough for its keys to be still valid. It must
+// have been determined before the view was loaded.
 func (e *exchange) identify(view *fleet.View, sure bool) Reason {
 	required := view.RequiresKeys(e.route)
 	caller := view.Tenants().Of(e.request.Key)
@@ -31,9 +31,9 @@
 	return ""
 }
 
-// identifyAgain looks at the key once more, just before the request goes to an instance: a
-// newer configuration may have taken the key away while the request waited or this process
-// stood still. What runs already may go on.
+// identifyAgain checks the key again just before the request is sent to an instance: a
+// newer configuration may have revoked the key while the request waited or this process
+// was suspended. A request that may already have run is not affected.
 func (e *exchange) identifyAgain() Reason {
 	if e.mayHaveRun || e.tenant == nil {
 		return ""
@@ -42,12 +42,12 @@
 	return e.identify(e.gateway.view.Load(), sure)
 }
 
-// sure reports whether the configuration here is new enough to tell which keys are valid.
+// sure reports whether the local configuration is recent enough to decide which keys are valid.
 func (g *Gateway) sure(now time.Time) bool {
 	return g.settings.KeysSure == nil || g.settings.KeysSure(now)
 }
 
-// tenantName is the name of the request's tenant, or empty.
+// tenantName returns the name of the request's tenant, or the empty string.
 func (e *exchange) tenantName() string {
 	if e.tenant == nil {
 		return ""
@@ -55,7 +55,7 @@
 	return e.tenant.Name
 }
 
-// statusOf is the status of a refusal of a request that has not run.
+// statusOf returns the HTTP status for rejecting a request that has not run.
 func statusOf(reason Reason) int {
 	switch reason {
 	case ReasonNoKey, ReasonUnknownKey:
--- a/gateway/identify_test.go
+++ b/gateway/identify_test.go
@@ -17,7 +17,8 @@
 
 const goodKey = "a key of acme"
 
-// keyedConfiguration has the tenants acme, which has a rank of its own and a limit, and plain.
+// keyedConfiguration has two tenants: acme, with a priority of its own and a limit, and plain, with neither. Its routes
+// require keys, except for the public route open.
 func keyedConfiguration(version uint64, keys ...string) *fleet.Configuration {
 	made := configuration()
 	made.Version, made.RequiresKeys = version, true
@@ -36,7 +37,7 @@
 	return fleet.NewView(keyedConfiguration(version, keys...), view().Instances("svc"))
 }
 
-// ledger is a Quotas that grants until it is told not to, and keeps what it was asked.
+// ledger is a gateway.Quotas with a fixed answer that records the calls.
 type ledger struct {
 	answer   gateway.Allowance
 	taken    []float64
@@ -75,15 +76,15 @@
 		priority         int
 	}{
 		{name: "a key", route: "unsafe", key: goodKey, status: 200, tenant: "acme", priority: 3},
-		{name: "a tenant without a rank", route: "unsafe", key: "a key of plain", status: 200, tenant: "plain"},
+		{name: "a tenant without a priority", route: "unsafe", key: "a key of plain", status: 200, tenant: "plain"},
 		{name: "no key", route: "unsafe", status: 401, reason: gateway.ReasonNoKey},
-		{name: "a key that nobody holds", route: "unsafe", key: "x", status: 401, reason: gateway.ReasonUnknownKey},
-		{name: "no route goes before no key", route: "nowhere", status: 404, reason: gateway.ReasonNoRoute},
+		{name: "an unknown key", route: "unsafe", key: "x", status: 401, reason: gateway.ReasonUnknownKey},
+		{name: "a missing route is reported before a missing key", route: "nowhere", status: 404, reason: gateway.ReasonNoRoute},
 		{name: "a public route without a key", route: "open", status: 200},
-		{name: "a public route with a key that nobody holds", route: "open", key: "x", status: 200},
+		{name: "a public route with an unknown key", route: "open", key: "x", status: 200},
 		{name: "a public route with a key", route: "open", key: goodKey, status: 200, tenant: "acme", priority: 3},
 		{name: "an old configuration", route: "unsafe", key: goodKey, unsure: true, status: 503, reason: gateway.ReasonUnsure},
-		{name: "a key that an old configuration lacks", route: "unsafe", key: "x", unsure: true, status: 503, reason: gateway.ReasonUnsure},
+		{name: "a key that is not in an old configuration", route: "unsafe", key: "x", unsure: true, status: 503, reason: gateway.ReasonUnsure},
 		{name: "an old configuration and a public route", route: "open", unsure: true, status: 200},
 	}
 	for _, c := range cases {
@@ -95,26 +96,26 @@
 			}
 			if c.status != 200 {
 				if len(upstream.sent) > 0 {
-					t.Error("it was sent all the same")
+					t.Error("the rejected request was sent")
 				}
 				return
 			}
 			if sent := upstream.sent[0]; sent.Tenant != c.tenant || sent.Priority != c.priority {
-				t.Errorf("sent for tenant %q at rank %d, want %q %d", sent.Tenant, sent.Priority, c.tenant, c.priority)
+				t.Errorf("sent for tenant %q at priority %d, want %q %d", sent.Tenant, sent.Priority, c.tenant, c.priority)
 			}
 		})
 	}
 }
 
-// TestKeyIsLookedAtAgainAfterAWait has a request wait for a model while its key is taken away,
-// or while the configuration becomes too old to tell.
+// TestKeyIsLookedAtAgainAfterAWait guards against a request that is sent although its key was revoked while it waited for
+// a model, or although the configuration became too old to decide about keys.
 func TestKeyIsLookedAtAgainAfterAWait(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(g *gateway.Gateway, sure *atomic.Bool)
 		status int
 	}{
-		{"the key is taken away", func(g *gateway.Gateway, _ *atomic.Bool) { g.SetView(withModel(keyedView(2, "another"), "m")) }, 401},
+		{"the key is revoked", func(g *gateway.Gateway, _ *atomic.Bool) { g.SetView(withModel(keyedView(2, "another"), "m")) }, 401},
 		{"the configuration becomes too old", func(g *gateway.Gateway, sure *atomic.Bool) {
 			sure.Store(false)
 			g.SetView(withModel(keyedView(1, goodKey), "m"))
@@ -129,7 +130,7 @@
 				g := keyedGateway(upstream, func(time.Time) bool { return sure.Load() }, nil)
 				sent := keyedRequest("stream", goodKey)
 				sent.Model = "m"
-				ended := serving(g, sent, got)
+				ended := serveAsync(g, sent, got)
 				time.Sleep(300 * time.Millisecond)
 				c.change(g, sure)
 				<-ended
@@ -137,15 +138,15 @@
 					t.Errorf("status %d, want %d", got.status, c.status)
 				}
 				if c.status != 200 && len(upstream.sent) > 0 {
-					t.Error("it was sent all the same")
+					t.Error("the rejected request was sent")
 				}
 			})
 		})
 	}
 }
 
-// serving serves a request and returns what is closed at its end.
-func serving(g *gateway.Gateway, sent *gateway.Request, got *client) <-chan struct{} {
+// serveAsync starts to serve a request and returns a channel that is closed at its end.
+func serveAsync(g *gateway.Gateway, sent *gateway.Request, got *client) <-chan struct{} {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -154,7 +155,7 @@
 	return ended
 }
 
-// withModel is a view whose instances all have a model.
+// withModel returns a copy of the view in which all instances have the model.
 func withModel(view *fleet.View, model string) *fleet.View {
 	var changed []*fleet.Instance
 	for _, instance := range view.Instances("svc") {
@@ -176,9 +177,9 @@
 		returned []float64
 	}{
 		{"granted", gateway.Allowance{Granted: true}, nil, true, 200, []float64{110}, nil},
-		{"a request that names no tokens", gateway.Allowance{Granted: true}, nil, false, 200, []float64{7}, nil},
+		{"a request without token counts", gateway.Allowance{Granted: true}, nil, false, 200, []float64{7}, nil},
 		{"used up", gateway.Allowance{RetryAfter: time.Second}, nil, true, 429, []float64{110}, nil},
-		{"nobody can tell", gateway.Allowance{Unsure: true}, nil, true, 503, []float64{110}, nil},
+		{"unknown", gateway.Allowance{Unsure: true}, nil, true, 503, []float64{110}, nil},
 		{"declined by the instance", gateway.Allowance{Granted: true}, []answer{{status: 503, declined: true}}, true, 503, []float64{110}, []float64{110}},
 		{"failed by the instance", gateway.Allowance{Granted: true}, []answer{{err: gateway.ErrUnknown.New("reset")}}, true, 502, []float64{110}, nil},
 	}
@@ -194,13 +195,13 @@
 				t.Errorf("status %d, taken %v, returned %v, want %d %v %v", got.status, quotas.taken, quotas.returned, c.status, c.taken, c.returned)
 			}
 			if c.status == 429 && got.retryAfter <= 0 {
-				t.Error("the client is not told when to come back")
+				t.Error("status 429 without a retry delay")
 			}
 		})
 	}
 }
 
-// TestEachRunIsPaidFor has a request run a second time, which uses the limit once more.
+// TestEachRunIsPaidFor guards against a second run of a request that is not charged to the limit.
 func TestEachRunIsPaidFor(t *testing.T) {
 	quotas, got := &ledger{answer: gateway.Allowance{Granted: true}}, &client{}
 	upstream := &script{answers: []answer{{status: 500}, {status: 200, body: "ok"}}}
@@ -210,15 +211,15 @@
 	}
 }
 
-// TestOldAllowanceIsTakenAnew has a request wait for a model for longer than its allowance is
-// valid: otherwise many that waited would arrive together on top of what was allowed meanwhile.
+// TestOldAllowanceIsTakenAnew guards against an expired allowance that is used after a long wait for a model. Many
+// waiting requests could otherwise run together, in addition to those allowed in the meantime.
 func TestOldAllowanceIsTakenAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		quotas, got := &ledger{answer: gateway.Allowance{Granted: true}}, &client{}
 		g := keyedGateway(&script{}, nil, quotas)
 		sent := keyedRequest("stream", goodKey)
 		sent.Model = "m"
-		ended := serving(g, sent, got)
+		ended := serveAsync(g, sent, got)
 		time.Sleep(time.Second)
 		g.SetView(withModel(keyedView(2, goodKey), "m"))
 		<-ended
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -10,59 +10,62 @@
 	"github.com/wheatweir/wheatweir/quota"
 )
 
-// Notices tells what follows for this daemon from what instances have said of themselves. It must be
-// safe for concurrent use. Only Admit and TakeSlot block.
+// Notices tracks what instances announce about themselves (limits, rests, full slots) and decides which of them may get
+// requests from this daemon. It must be safe for concurrent use. Only Admit and TakeSlot block.
 type Notices interface {
-	// Bars lists the instances that must get no request now. The list must not be changed.
+	// Bars lists the instances that must get no request now. The list must not be modified.
 	Bars() []Bar
-	// Barred reports whether one of them must not.
+	// Barred reports whether the instance must get no request now. An instance that only is at its limit is not barred.
 	Barred(instance string) bool
-	// Admit takes a turn at an instance that names how many requests it takes from all daemons together,
-	// within a span at most.
+	// Admit acquires a turn at an instance that limits the requests from all daemons together. It is granted only if
+	// it starts within the given time.
 	Admit(ctx context.Context, instance string, within time.Duration) Turn
-	// HasRoom reports whether an instance may get another request from here, with so many that it is known to have. It
-	// only says no for instances that fall over if they turn requests away.
+	// HasRoom reports whether the instance may get another request from this daemon. The parameter requests is the known
+	// number of requests at the instance. The result is false only for brittle instances: those that fail when they
+	// have to reject requests.
 	HasRoom(instance *fleet.Instance, requests int) bool
-	// TakeSlot takes a slot of such an instance for a request, with so many that it is known to have. GiveBackSlot is
-	// called when the request has ended, or is not sent.
+	// TakeSlot takes a slot of a brittle instance for a request. The parameter requests is the known number of requests
+	// at the instance. GiveBackSlot is called when the request has ended, or is not sent.
 	TakeSlot(ctx context.Context, instance *fleet.Instance, requests int) Slot
 	GiveBackSlot(instance *fleet.Instance)
-	// TurnedAway is told that an instance had no room for a request.
+	// TurnedAway records that an instance rejected a request because it had no free slot.
 	TurnedAway(instance *fleet.Instance)
 }
 
-// Bar keeps requests from an instance. Unlike what balance.Tracker advises against, it holds also if there is no
-// other instance.
+// Bar excludes an instance from requests. An instance that balance.Tracker advises against is still used if there is no
+// other one; a barred instance is not.
 type Bar struct {
 	Instance string
 	Reason   Reason
-	// Until is when it ends; the zero time if that is not known.
+	// Until is the end of the exclusion; the zero time if it is unknown.
 	Until time.Time
 }
 
-// Slot says whether a request may be sent as far as the slots of its instance go.
+// Slot is the result of TakeSlot.
 type Slot uint8
 
 const (
-	// SlotTaken means that it may.
+	// SlotTaken means that the request may be sent, and that its slot has to be released afterwards.
 	SlotTaken Slot = iota
-	// SlotUncounted means that it may, and that there is no slot to give back.
+	// SlotUncounted means that the request may be sent and that there is no slot to release: the instance's slots are not
+	// counted.
 	SlotUncounted
 	// SlotDenied means that all slots are in use.
 	SlotDenied
 )
 
-// Turn is the right to send one request where requests go one after the other, or that there is none now.
+// Turn is the right to send one request to an instance, or with a suspected content, where a limit applies to all
+// daemons together; or the answer that there is no such right now.
 type Turn struct {
 	Granted bool
-	// Limited says that they do: the turn lapses.
+	// Limited says that such a limit applies, so that the turn expires.
 	Limited bool
-	// Wait is until the request may be sent, or if not granted, until there may be a turn.
+	// Wait is the time until the request may be sent or, if no turn is granted, until one may be available.
 	Wait time.Duration
 }
 
-// bars returns the instances that must not get this request now. Those that are at their limit are listed apart:
-// there may be a turn soon.
+// bars returns the instances that must not get this request now. Those at their limit are listed separately, because
+// a turn may be available there soon.
 func (e *exchange) bars() (barred, atLimit []string) {
 	if e.gateway.settings.Notices == nil {
 		return nil, nil
@@ -77,45 +80,47 @@
 	return barred, atLimit
 }
 
-// takeTurn takes a turn at an instance, and reports whether the request may be sent there now.
+// takeTurn acquires a turn at an instance, waits until it starts, and reports whether the request may be sent there now.
+// If no turn is granted, the request's slot at the instance is released.
 func (e *exchange) takeTurn(ctx context.Context, instance *fleet.Instance, within time.Duration) bool {
 	notices := e.gateway.settings.Notices
 	if notices == nil {
 		return true
 	}
-	got := notices.Admit(ctx, instance.ID, within)
-	if !got.Granted {
+	turn := notices.Admit(ctx, instance.ID, within)
+	if !turn.Granted {
 		e.giveBackSlot()
-		e.comeBack = got.Wait
+		e.comeBack = turn.Wait
 		return false
 	}
-	if got.Wait > 0 {
+	if turn.Wait > 0 {
 		e.observeOnce(StepWaiting, ReasonAtLimit)
 		e.phase = PhaseWaiting
-		sleep(ctx, got.Wait)
+		sleep(ctx, turn.Wait)
 	}
 	e.instanceTurnEnds = time.Time{}
-	if got.Limited {
+	if turn.Limited {
 		e.instanceTurnEnds = e.gateway.Now().Add(quota.AllowanceSpan)
 	}
 	return ctx.Err() == nil
 }
 
-// mayReach reports whether the request may still be sent to an instance. It is the last look before the first byte:
-// a choice, a turn and a connection take their time.
+// mayReach reports whether the request may still be sent to an instance. It is the last check before the first byte,
+// because the state may have changed while an instance was chosen, a turn acquired and a connection established.
 func (e *exchange) mayReach(instance string) bool {
-	if known := e.gateway.view.Load().Instance(instance); known != nil && known.Leaving {
+	if current := e.gateway.view.Load().Instance(instance); current != nil && current.Leaving {
 		return false
 	}
 	notices := e.gateway.settings.Notices
 	if notices == nil {
 		return true
 	}
-	lapsed := !e.instanceTurnEnds.IsZero() && !e.gateway.Now().Before(e.instanceTurnEnds)
-	return !lapsed && !notices.Barred(instance)
+	expired := !e.instanceTurnEnds.IsZero() && !e.gateway.Now().Before(e.instanceTurnEnds)
+	return !expired && !notices.Barred(instance)
 }
 
-// atLimit looks for a turn soon at an instance that is at its limit, since no other can take the request.
+// atLimit tries to acquire a turn that starts soon at an instance that is at its limit. It is used when no other instance
+// can take the request.
 func (e *exchange) atLimit(ctx context.Context, view *fleet.View, excluded []string) (*balance.Candidate, found) {
 	candidate := e.pick(ctx, view, excluded)
 	switch {
@@ -136,8 +141,8 @@
 	}
 }
 
-// restsUntil returns when the first rest ends of the instances that have what the request needs and were not
-// tried; the zero time unless all of them rest.
+// restsUntil returns the earliest end of a rest among the instances that have what the request needs and were not
+// tried yet. It returns the zero time unless all of them are resting, that is, have asked for no requests for a time.
 func (e *exchange) restsUntil(view *fleet.View) time.Time {
 	var until time.Time
 	if e.gateway.settings.Notices == nil {
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -13,24 +13,26 @@
 	"github.com/wheatweir/wheatweir/retry"
 )
 
-// fakeNotices is what instances have said.
+// fakeNotices is a gateway.Notices with fixed announcements of the instances.
 type fakeNotices struct {
 	bars []gateway.Bar
-	// turns are the answers to questions for a turn, by instance; one that is not named has no limit.
+	// turns are the results of Admit by instance; an instance that is not in it has no limit.
 	turns map[string]gateway.Turn
-	asked []string
-	// full are the instances without room, turnedAway those that had none for a request.
+	// admitCalls are the instances with a limit for which Admit was called.
+	admitCalls []string
+	// full are the instances for which HasRoom returns false.
 	full []string
-	// slots are how many more requests instances take whose slots are counted.
-	slots      map[string]int
-	turnedAway []string
-	// saidAt is when the instances say so; zero for always.
-	saidAt time.Time
+	// slots is the number of free slots by instance; the slots of other instances are not counted.
+	slots map[string]int
+	// rejectedBy are the instances for which TurnedAway was called.
+	rejectedBy []string
+	// barsFrom is the time from which the bars apply; zero for always.
+	barsFrom time.Time
 }
 
 func (n *fakeNotices) Bars() []gateway.Bar {
 	now := time.Now()
-	if now.Before(n.saidAt) {
+	if now.Before(n.barsFrom) {
 		return nil
 	}
 	var bars []gateway.Bar
@@ -67,7 +69,7 @@
 func (n *fakeNotices) GiveBackSlot(instance *fleet.Instance) { n.slots[instance.ID]++ }
 
 func (n *fakeNotices) TurnedAway(instance *fleet.Instance) {
-	n.turnedAway = append(n.turnedAway, instance.ID)
+	n.rejectedBy = append(n.rejectedBy, instance.ID)
 }
 
 func (n *fakeNotices) Admit(_ context.Context, instance string, within time.Duration) gateway.Turn {
@@ -75,13 +77,13 @@
 	if !limited {
 		return gateway.Turn{Granted: true}
 	}
-	n.asked = append(n.asked, instance)
+	n.admitCalls = append(n.admitCalls, instance)
 	turn.Limited = true
 	turn.Granted = turn.Wait <= within
 	return turn
 }
 
-// serveUnder serves one request under what instances have said.
+// serveUnder serves one request with the given announcements of the instances.
 func serveUnder(notices *fakeNotices, upstream gateway.Upstream, sent *gateway.Request) *client {
 	settings := gateway.Settings{
 		RetryAfter: 200 * time.Millisecond, WaitShare: 0.5, ShareOfConnections: func() float64 { return 1 }, Notices: notices,
@@ -93,9 +95,9 @@
 	return reply
 }
 
-// TestLimitedInstances covers requests among three instances of which some have no turn: another one takes the
-// request; if there is none, it waits for a turn that comes soon, or is refused at once with when there may
-// be one.
+// TestLimitedInstances covers requests for three instances of which some have no turn. Another instance takes the
+// request. If there is none, the request waits for a turn that starts soon, or is rejected at once with the time until
+// one may be available.
 func TestLimitedInstances(t *testing.T) {
 	soon, late := 300*time.Millisecond, 1500*time.Millisecond
 	cases := []struct {
@@ -127,36 +129,36 @@
 				upstream, began := &script{}, time.Now()
 				reply := serveUnder(notices, upstream, request("unsafe"))
 				if reply.status != c.status || reply.retryAfter != c.retryAfter || reply.at.Sub(began) != c.took {
-					t.Errorf("status %d after %v, come back in %v", reply.status, reply.at.Sub(began), reply.retryAfter)
+					t.Errorf("status %d after %v, retry after %v", reply.status, reply.at.Sub(began), reply.retryAfter)
 				}
 				if c.status == 503 && reply.reason != gateway.ReasonAtLimit {
-					t.Errorf("refused as %q", reply.reason)
+					t.Errorf("rejected as %q", reply.reason)
 				}
 				if c.instance != "" && (len(upstream.sent) != 1 || upstream.sent[0].Instance.ID != c.instance) {
 					t.Errorf("sent %+v", upstream.sent)
 				}
-				if len(c.spent) == 2 && len(notices.asked) > 0 {
-					t.Errorf("asked for turns at %v", notices.asked)
+				if len(c.spent) == 2 && len(notices.admitCalls) > 0 {
+					t.Errorf("requested turns at %v", notices.admitCalls)
 				}
 			})
 		})
 	}
 }
 
-// TestTurnLapses has a connection take longer than a turn lasts: nothing may be sent on it any more, as others
-// have had the turns since.
+// TestTurnLapses guards against a request sent after its turn has expired, because establishing the connection took too
+// long. Other requests have had their turns in the meantime.
 func TestTurnLapses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		notices := &fakeNotices{turns: map[string]gateway.Turn{"i1": {}, "i2": {}, "i3": {}}}
 		upstream := &slowConnections{took: 600 * time.Millisecond, slow: 1}
 		reply := serveUnder(notices, upstream, request("unsafe"))
 		if reply.status != 200 || upstream.barred != 1 {
-			t.Errorf("status %d, %d sends were turned back", reply.status, upstream.barred)
+			t.Errorf("status %d, %d sends were prevented", reply.status, upstream.barred)
 		}
 	})
 }
 
-// slowConnections is an Upstream whose first connections take a while.
+// slowConnections is a gateway.Upstream whose first connections, as many as slow says, take the time took.
 type slowConnections struct {
 	script
 	took   time.Duration
@@ -176,21 +178,22 @@
 	return s.script.Send(ctx, outbound)
 }
 
-// TestRestingInstances covers requests among three instances of which some want rest: another one takes the
-// request, also one that something speaks against; if all rest, it waits as long as it may for the first of them, or
-// is refused at once with when that one's rest ends.
+// TestRestingInstances covers requests for three instances of which some are resting, that is, have asked for no requests
+// for a time. Another instance takes the request, even one that balance.Tracker advises against. If all are resting, the
+// request waits for the first rest to end if it may wait so long. Otherwise it is rejected at once with the time until
+// then.
 func TestRestingInstances(t *testing.T) {
 	cases := []struct {
 		name   string
 		rests  map[string]time.Duration
 		status int
-		// least is when the answer comes at the earliest, and most at the latest.
-		least, most time.Duration
-		retryAfter  time.Duration
+		// earliest and latest bound the time until the answer.
+		earliest, latest time.Duration
+		retryAfter       time.Duration
 	}{
-		{"two rest", map[string]time.Duration{"i1": time.Minute, "i2": time.Minute}, 200, 0, 0, 0},
-		{"all rest for a moment", map[string]time.Duration{"i1": 2 * time.Second, "i2": time.Second, "i3": 3 * time.Second}, 200, time.Second, 1200 * time.Millisecond, 0},
-		{"all rest for long", map[string]time.Duration{"i1": 10 * time.Second, "i2": 9 * time.Second, "i3": time.Minute}, 503, 0, 0, 9 * time.Second},
+		{"two are resting", map[string]time.Duration{"i1": time.Minute, "i2": time.Minute}, 200, 0, 0, 0},
+		{"all rest for a short time", map[string]time.Duration{"i1": 2 * time.Second, "i2": time.Second, "i3": 3 * time.Second}, 200, time.Second, 1200 * time.Millisecond, 0},
+		{"all rest for a long time", map[string]time.Duration{"i1": 10 * time.Second, "i2": 9 * time.Second, "i3": time.Minute}, 503, 0, 0, 9 * time.Second},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -203,22 +206,22 @@
 				upstream := &script{}
 				reply := serveUnder(notices, upstream, request("unsafe"))
 				took := reply.at.Sub(began)
-				if reply.status != c.status || reply.retryAfter != c.retryAfter || took < c.least || took > c.most {
-					t.Errorf("status %d after %v, come back in %v", reply.status, took, reply.retryAfter)
+				if reply.status != c.status || reply.retryAfter != c.retryAfter || took < c.earliest || took > c.latest {
+					t.Errorf("status %d after %v, retry after %v", reply.status, took, reply.retryAfter)
 				}
 				if c.status == 503 && (reply.reason != gateway.ReasonResting || len(upstream.sent) > 0) {
-					t.Errorf("refused as %q after %d sends", reply.reason, len(upstream.sent))
+					t.Errorf("rejected as %q after %d sends", reply.reason, len(upstream.sent))
 				}
 			})
 		})
 	}
 }
 
-// TestInstanceThatAsksForRestDuringAConnection has all instances ask for rest while a connection is made to one of
-// them: nothing is sent on it.
+// TestInstanceThatAsksForRestDuringAConnection guards against a request sent to an instance that has asked for rest while
+// the connection to it was being established.
 func TestInstanceThatAsksForRestDuringAConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		notices := &fakeNotices{saidAt: time.Now().Add(100 * time.Millisecond)}
+		notices := &fakeNotices{barsFrom: time.Now().Add(100 * time.Millisecond)}
 		upstream := &slowConnections{took: 200 * time.Millisecond, slow: 1}
 		for _, instance := range []string{"i1", "i2", "i3"} {
 			notices.bars = append(notices.bars, gateway.Bar{Instance: instance, Reason: gateway.ReasonResting, Until: time.Now().Add(time.Minute)})
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -10,66 +10,69 @@
 	"github.com/wheatweir/wheatweir/quota"
 )
 
-// Quarantine finds contents, and parts that prompts share, which crash the instances that run them. Only SuspectTurn and
+// Quarantine finds request contents, and prompt parts shared by several requests, that crash the instances that run
+// them. Such contents and parts are held: for a time, no request with them is sent to an instance. Only SuspectTurn and
 // Settled block.
 type Quarantine interface {
-	// Suspects reports whether any content is suspected. While none is, which is nearly always,
+	// Suspects reports whether any content or part is suspected. While none is, which is nearly always,
 	// requests need no digest.
 	Suspects() bool
 	Digest(content *quarantine.Content) quarantine.Digest
-	// PartDigest returns the digest of a shared part of prompts by its ID.
+	// PartDigest returns the digest of the shared prompt part with this ID.
 	PartDigest(id string) quarantine.Digest
-	// HeldUntil returns until when a request is kept from instances, and for which content or part; the zero time if it
-	// is not.
+	// HeldUntil returns the time until which the request may not be sent to an instance, and the content or part that is
+	// the cause. The time is zero if the request is not held.
 	HeldUntil(request *quarantine.Attributes) (until time.Time, cause quarantine.Digest)
-	// SuspectTurn takes the right to run a request now although a server has crashed under its content or one of its
-	// parts: of all such requests in the fleet, the next one runs only when there was time for a verdict on the one
-	// before. A request of which nothing is suspected has it always.
+	// SuspectTurn acquires the right to run a request now whose content, or one of whose parts, was running when an
+	// instance crashed. Such requests run one after the other in the whole fleet: the next one starts only after the time
+	// that a verdict on the previous one takes. A request without a suspected content or part always gets the turn.
 	SuspectTurn(ctx context.Context, request *quarantine.Attributes) Turn
-	// Broke notes that an instance ended the connection of a request that it ran. Whether it
-	// crashed is still to be found out.
+	// Broke records that an instance closed the connection of a request that it ran. Whether the instance
+	// crashed is determined afterwards.
 	Broke(instance *fleet.Instance, victim quarantine.Victim)
-	// Settled waits a little until it was looked whether an instance crashed. The next attempt
-	// would otherwise begin before what this one tells is known.
+	// Settled waits for a short time until the check whether the instance crashed is done. Without this wait, the next
+	// attempt would start before the result of the failed one is known.
 	Settled(ctx context.Context, instance *fleet.Instance)
-	// Served notes that a run ended well, and Answered that an instance served a run that began at
-	// a moment.
+	// Served records that a request was answered successfully. Answered records that the instance served a request
+	// that was sent at the time began.
 	Served(request *quarantine.Attributes)
 	Answered(instance string, began time.Time)
-	// Sound notes that a run with a prompt ended well. It is told of all of them, also while nothing is suspected.
+	// Sound records that a request with this prompt was answered successfully. It is called for every such request, also
+	// while nothing is suspected.
 	Sound(prompt []PromptPart)
 }
 
-// attributes returns what the request is judged by.
+// attributes returns the digests of the request's content and shared prompt parts, by which the quarantine matches it.
+// They are computed once.
 func (e *exchange) attributes() *quarantine.Attributes {
 	if e.judgedBy == nil {
 		request := e.request
-		known := e.gateway.settings.Quarantine
-		e.judgedBy = &quarantine.Attributes{Content: known.Digest(&quarantine.Content{
+		tracker := e.gateway.settings.Quarantine
+		e.judgedBy = &quarantine.Attributes{Content: tracker.Digest(&quarantine.Content{
 			Caller: request.Key, Method: request.Method, Host: request.RouteHost, URI: request.URI, Body: request.Body,
 		})}
 		for _, part := range sharedParts(request.Prompt) {
-			e.judgedBy.Parts = append(e.judgedBy.Parts, quarantine.Part{ID: part.ID, Digest: known.PartDigest(part.ID)})
+			e.judgedBy.Parts = append(e.judgedBy.Parts, quarantine.Part{ID: part.ID, Digest: tracker.PartDigest(part.ID)})
 		}
 	}
 	return e.judgedBy
 }
 
-// mostSharedParts bounds the parts of a prompt that are judged.
-const mostSharedParts = 32
+// maxSharedParts is the maximum number of parts of a prompt that the quarantine checks.
+const maxSharedParts = 32
 
-// sharedParts returns the parts of a prompt that other requests may share: all but the last one.
+// sharedParts returns the parts of a prompt that other requests may share: all but the last one, up to maxSharedParts.
 func sharedParts(prompt []PromptPart) []PromptPart {
-	return prompt[:min(mostSharedParts, max(0, len(prompt)-1))]
+	return prompt[:min(maxSharedParts, max(0, len(prompt)-1))]
 }
 
-// suspected reports whether there is any content or part that this request may have.
+// suspected reports whether any content or part is suspected at all, so that this request has to be checked.
 func (e *exchange) suspected() bool {
 	return e.gateway.settings.Quarantine != nil && e.gateway.settings.Quarantine.Suspects()
 }
 
-// held reports whether the request must not reach an instance. It is looked at when the request
-// arrives, while it waits and just before each send: others may have run the same content meanwhile.
+// held reports whether the request must not be sent to an instance. It is checked when the request
+// arrives, while it waits and just before each send, because other requests may have run the same content meanwhile.
 func (e *exchange) held() bool {
 	if !e.suspected() {
 		return false
@@ -79,23 +82,24 @@
 	return !until.IsZero()
 }
 
-// verdictPause is the pause between two looks of a request that waits for the verdict on its content: another copy
-// may have ended well, or a further server may have crashed.
-const verdictPause = 50 * time.Millisecond
+// verdictPollInterval is the interval at which a request that waits for the verdict on its content checks again: another
+// request with the same content may have succeeded, or another instance may have crashed.
+const verdictPollInterval = 50 * time.Millisecond
 
-// verdictWait is what a wait for the verdict on a content comes to.
+// verdictWait is the result of the wait for the verdict on a content.
 type verdictWait uint8
 
 const (
-	// verdictOpen means that the request may be sent now.
+	// verdictOpen means that the request may be sent now and did not wait.
 	verdictOpen verdictWait = iota
-	// verdictWaited means that it may be sent, and that time has passed since its instance was chosen.
+	// verdictWaited means that the wait is over, so that the choice of the instance may be outdated. The request may be
+	// sent, unless it is held by now.
 	verdictWaited
-	// verdictOverdue means that it may not be sent in the time that it can wait.
+	// verdictOverdue means that the request cannot be sent within the time that it may wait.
 	verdictOverdue
 )
 
-// awaitVerdict waits until the request may run although a server has crashed under its content.
+// awaitVerdict waits until the request may run if its content, or one of its parts, is suspected of crashing instances.
 func (e *exchange) awaitVerdict(ctx context.Context) verdictWait {
 	outcome := verdictOpen
 	for e.suspected() && !e.gateway.Now().Before(e.contentTurnEnds) {
@@ -114,19 +118,20 @@
 		e.leaveLine()
 		e.phase = PhaseWaiting
 		e.observeOnce(StepWaiting, ReasonSuspected)
-		sleep(ctx, verdictPause)
+		sleep(ctx, verdictPollInterval)
 		outcome = verdictWaited
 	}
 	return outcome
 }
 
-// heldLeft is how long the request is still held.
+// heldLeft returns the time for which the request is still held.
 func (e *exchange) heldLeft() time.Duration {
 	until, _ := e.gateway.settings.Quarantine.HeldUntil(e.attributes())
 	return max(0, e.until(until))
 }
 
-// brokenBy notes that an instance ended the request's connection, unless the client or this daemon did.
+// brokenBy reports to the quarantine that the instance closed the request's connection, unless the client or this daemon
+// closed it.
 func (e *exchange) brokenBy(ctx context.Context, instance *fleet.Instance) {
 	if e.gateway.settings.Quarantine == nil || ctx.Err() != nil || blame(ctx, balance.Broken) != balance.Broken {
 		return
@@ -136,41 +141,44 @@
 	})
 }
 
-// settle waits after a broken attempt, if there may be another one.
+// settle waits after an attempt whose connection broke, if another attempt is allowed, for the check whether the
+// instance crashed.
 func (e *exchange) settle(ctx context.Context, last verdict, instance *fleet.Instance) {
 	if last == verdictBroken && e.route.Repeatable() && e.gateway.settings.Quarantine != nil {
 		e.gateway.settings.Quarantine.Settled(ctx, instance)
 	}
 }
 
-// endedWell notes that an instance ran the request to a good end: its content and its parts are harmless.
+// endedWell reports to the quarantine that the instance completed the request, so its content and parts are harmless.
 func (e *exchange) endedWell(instance string) {
-	known := e.gateway.settings.Quarantine
-	if known == nil {
+	tracker := e.gateway.settings.Quarantine
+	if tracker == nil {
 		return
 	}
-	known.Answered(instance, e.sentAt)
-	if e.speaksForParts() {
-		known.Sound(e.request.Prompt)
+	tracker.Answered(instance, e.sentAt)
+	if e.clearsSharedParts() {
+		tracker.Sound(e.request.Prompt)
 	}
 	if !e.suspected() {
 		return
 	}
 	served := *e.attributes()
-	if !e.speaksForParts() {
+	if !e.clearsSharedParts() {
 		served.Parts = nil
 	}
-	known.Served(&served)
+	tracker.Served(&served)
 }
 
-// longAnswer is how long an answer has to go on to show that its instance did not crash as it began to write.
-const longAnswer = 500 * time.Millisecond
+// minHarmlessDuration is the minimum time for which an answer has to continue to show that the instance did not crash
+// when it started to write.
+const minHarmlessDuration = 500 * time.Millisecond
 
-// speaksForParts reports whether the good end of the answer shows that the parts of its prompt are harmless. The end of one
-// that ends with its connection may be a crash between two events; then only its length tells.
-func (e *exchange) speaksForParts() bool {
+// clearsSharedParts reports whether the completed answer shows that the shared parts of the prompt are harmless. If the
+// end of the connection marks the end of the body, a crash between two events looks like a complete answer. In this case
+// only an answer that continued for minHarmlessDuration counts.
+func (e *exchange) clearsSharedParts() bool {
 	if len(e.request.Prompt) < 2 {
 		return false
 	}
-	return e.framing != FramedByConnection || !e.pace.firstAt.IsZero() && e.since(e.pace.firstAt) >= longAnswer
+	return e.framing != FramedByConnection || !e.pace.firstAt.IsZero() && e.since(e.pace.firstAt) >= minHarmlessDuration
 }
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -13,23 +13,24 @@
 	"github.com/wheatweir/wheatweir/retry"
 )
 
-// fakeQuarantine knows one content.
+// fakeQuarantine is a gateway.Quarantine for a single content.
 type fakeQuarantine struct {
 	suspects bool
-	// heldFrom is when the content is held from on; zero for never.
+	// heldFrom is the time from which the content is held; zero for never.
 	heldFrom time.Time
-	// holdAfter holds it once so many runs broke.
+	// holdAfter is the number of broken runs after which the content is held.
 	holdAfter int
 	broke     []quarantine.Victim
 	settled   int
 	served    int
 	digests   int
-	// servedParts are the parts of the last request that ended well, sound the prompts that were told to be harmless.
+	// servedParts are the parts passed with the last call of Served.
 	servedParts []quarantine.Part
-	sound       [][]gateway.PromptPart
-	// turnAt is when the content has a turn; it has one always by default.
+	// harmless are the prompts passed to Sound.
+	harmless [][]gateway.PromptPart
+	// turnAt is the time from which the content gets a turn; zero for always.
 	turnAt time.Time
-	// clearedAt is when nothing is suspected any more; zero for never.
+	// clearedAt is the time from which nothing is suspected any more; zero for never.
 	clearedAt time.Time
 	turns     int
 }
@@ -77,10 +78,10 @@
 	q.served++
 	q.servedParts = request.Parts
 }
-func (q *fakeQuarantine) Sound(prompt []gateway.PromptPart) { q.sound = append(q.sound, prompt) }
+func (q *fakeQuarantine) Sound(prompt []gateway.PromptPart) { q.harmless = append(q.harmless, prompt) }
 func (q *fakeQuarantine) Answered(string, time.Time)        {}
 
-// serveQuarantined serves one request under a quarantine.
+// serveQuarantined serves one request with the given quarantine.
 func serveQuarantined(upstream gateway.Upstream, held *fakeQuarantine, sent *gateway.Request, view *fleet.View) *client {
 	settings := gateway.Settings{
 		RetryAfter: 200 * time.Millisecond, WaitShare: 0.5, ShareOfConnections: func() float64 { return 1 }, Quarantine: held,
@@ -97,7 +98,7 @@
 		upstream := &script{}
 		reply := serveQuarantined(upstream, &fakeQuarantine{suspects: true, heldFrom: time.Now()}, request("safe"), view())
 		if reply.status != 503 || reply.reason != gateway.ReasonQuarantined || reply.retryAfter != heldFor {
-			t.Errorf("status %d, reason %q, come back in %v", reply.status, reply.reason, reply.retryAfter)
+			t.Errorf("status %d, reason %q, retry after %v", reply.status, reply.reason, reply.retryAfter)
 		}
 		if len(upstream.sent) > 0 || !reply.at.Equal(time.Now()) {
 			t.Errorf("sent %d times", len(upstream.sent))
@@ -105,8 +106,8 @@
 	})
 }
 
-// TestRequestThatWaitsIsRefusedOnceItIsHeld covers a request whose model is nowhere: its content becomes
-// known as deadly while it waits.
+// TestRequestThatWaitsIsRefusedOnceItIsHeld guards against a request that keeps waiting after its content was put under
+// quarantine. It waits because no instance has its model.
 func TestRequestThatWaitsIsRefusedOnceItIsHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		upstream := &script{}
@@ -120,15 +121,16 @@
 	})
 }
 
-// TestNoAttemptFollowsTheOneThatHoldsARequest covers a second attempt within one try: it waits until
-// it was looked whether the first instance crashed, and is not made if that holds the request.
+// TestNoAttemptFollowsTheOneThatHoldsARequest guards against a second attempt that does not wait for the check whether
+// the first instance crashed. There is no second attempt if the result of the check holds the request.
+// The status is 502 then, since the first attempt may have run.
 func TestNoAttemptFollowsTheOneThatHoldsARequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		upstream := &script{answers: []answer{{err: gateway.ErrUnknown.New("reset")}, {status: 200, body: "late"}}}
 		held := &fakeQuarantine{holdAfter: 1}
 		reply := serveQuarantined(upstream, held, request("safe"), view())
 		if reply.status != 502 || len(upstream.sent) != 1 || held.settled != 1 {
-			t.Errorf("status %d, sent %d times, waited %d times; it may have run", reply.status, len(upstream.sent), held.settled)
+			t.Errorf("status %d, sent %d times, waited for the check %d times", reply.status, len(upstream.sent), held.settled)
 		}
 	})
 }
@@ -146,9 +148,9 @@
 		{"body cut", "once", []answer{{status: 200, body: "part", cut: true}}, 1, 0},
 		{"stream cut", "stream", []answer{{status: 200, body: "id: 1\n\n", cut: true}}, 1, 0},
 		{"declined", "once", []answer{{status: 503, declined: true}}, 0, 0},
-		{"error of the instance", "once", []answer{{status: 500}}, 0, 0},
-		{"broken, then whole", "safe", []answer{{err: gateway.ErrUnknown.New("reset")}, {status: 200, body: "whole"}}, 1, 1},
-		{"client's time over", "once", []answer{{hang: true}}, 0, 0},
+		{"error status", "once", []answer{{status: 500}}, 0, 0},
+		{"broken, then complete", "safe", []answer{{err: gateway.ErrUnknown.New("reset")}, {status: 200, body: "whole"}}, 1, 1},
+		{"deadline exceeded", "once", []answer{{hang: true}}, 0, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -157,7 +159,7 @@
 				began := time.Now()
 				serveQuarantined(&script{answers: c.answers}, held, request(c.route), view())
 				if len(held.broke) != c.broke || held.served != c.served {
-					t.Errorf("%d broken and %d good runs are told, want %d and %d", len(held.broke), held.served, c.broke, c.served)
+					t.Errorf("%d broken and %d successful runs are reported, want %d and %d", len(held.broke), held.served, c.broke, c.served)
 				}
 				if c.broke > 0 && held.broke[0].Began.Before(began) {
 					t.Error("the run began before the request arrived")
@@ -167,7 +169,7 @@
 	}
 }
 
-// TestNothingIsDigestedWithoutSuspicion covers what all of this costs while no server has crashed.
+// TestNothingIsDigestedWithoutSuspicion guards against the cost of digests while no instance has crashed.
 func TestNothingIsDigestedWithoutSuspicion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		held := &fakeQuarantine{}
@@ -177,8 +179,9 @@
 	})
 }
 
-// TestCopyOfASuspectWaitsForItsTurn has a request wait while another copy of its content may still end a server: it
-// is sent once there is a turn, or once the content is cleared, and refused at once as not run if that takes too long.
+// TestCopyOfASuspectWaitsForItsTurn covers a request that waits while another request with its content may still crash an
+// instance. It is sent once it gets a turn, or once the content is cleared. It is rejected at once, as not run, if that
+// would take too long.
 func TestCopyOfASuspectWaitsForItsTurn(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -191,8 +194,8 @@
 	}{
 		{"a turn at once", 0, 0, 0, 200, "", 0},
 		{"a turn soon", time.Second, 0, 0, 200, "", time.Second},
-		{"cleared by another copy", 2 * time.Second, 0, 400 * time.Millisecond, 200, "", 400 * time.Millisecond},
-		{"held by then", 2 * time.Second, 600 * time.Millisecond, 0, 503, gateway.ReasonQuarantined, 600 * time.Millisecond},
+		{"cleared by another request", 2 * time.Second, 0, 400 * time.Millisecond, 200, "", 400 * time.Millisecond},
+		{"held in the meantime", 2 * time.Second, 600 * time.Millisecond, 0, 503, gateway.ReasonQuarantined, 600 * time.Millisecond},
 		{"no turn in time", time.Minute, 0, 0, 503, gateway.ReasonSuspected, 0},
 	}
 	for _, c := range cases {
@@ -213,14 +216,15 @@
 					t.Errorf("status %d as %q after %v", reply.status, reply.reason, reply.at.Sub(began))
 				}
 				if c.status == 503 && (len(upstream.sent) > 0 || reply.retryAfter == 0) {
-					t.Errorf("sent %d times, come back in %v", len(upstream.sent), reply.retryAfter)
+					t.Errorf("sent %d times, retry after %v", len(upstream.sent), reply.retryAfter)
 				}
 			})
 		})
 	}
 }
 
-// TestEachAttemptOfASuspectNeedsATurn repeats a safe request whose first attempt broke.
+// TestEachAttemptOfASuspectNeedsATurn guards against a retry that uses the turn of the first attempt, whose connection
+// broke.
 func TestEachAttemptOfASuspectNeedsATurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		suspect := &fakeQuarantine{suspects: true}
@@ -232,8 +236,8 @@
 	})
 }
 
-// TestSharedPartsOfPromptsAreJudged covers which parts of a prompt a request is judged by: all but the last one, which is
-// its own.
+// TestSharedPartsOfPromptsAreJudged covers which parts of a prompt the quarantine checks: all but the last one, which no
+// other request shares, and 32 at most.
 func TestSharedPartsOfPromptsAreJudged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, c := range []struct {
@@ -245,30 +249,30 @@
 			{[]gateway.PromptPart{{ID: "first"}, {ID: "second"}, {ID: "own"}}, 2},
 			{make([]gateway.PromptPart, 100), 32},
 		} {
-			known := &fakeQuarantine{}
+			tracker := &fakeQuarantine{}
 			sent := request("safe")
 			sent.Prompt = c.prompt
-			serveQuarantined(&script{answers: []answer{{err: gateway.ErrUnknown.New("reset")}, {status: 200, body: "well"}}}, known, sent, view())
-			if len(known.broke) != 1 || len(known.broke[0].Parts) != c.want || len(known.servedParts) != c.want {
-				t.Errorf("prompt of %d parts: broke %v, served %v", len(c.prompt), known.broke, known.servedParts)
+			serveQuarantined(&script{answers: []answer{{err: gateway.ErrUnknown.New("reset")}, {status: 200, body: "well"}}}, tracker, sent, view())
+			if len(tracker.broke) != 1 || len(tracker.broke[0].Parts) != c.want || len(tracker.servedParts) != c.want {
+				t.Errorf("prompt of %d parts: broke %v, served %v", len(c.prompt), tracker.broke, tracker.servedParts)
 			}
-			if told := len(known.sound) == 1; told != (c.want > 0) {
-				t.Errorf("prompt of %d parts: told as harmless %v", len(c.prompt), known.sound)
+			if reported := len(tracker.harmless) == 1; reported != (c.want > 0) {
+				t.Errorf("prompt of %d parts: reported as harmless %v", len(c.prompt), tracker.harmless)
 			}
 		}
 	})
 }
 
-// TestAnswerThatEndsWithItsConnectionSpeaksForNoPart covers a server that crashes between two events of an answer without
-// a length or chunks, which looks like the end of it.
+// TestAnswerThatEndsWithItsConnectionSpeaksForNoPart guards against shared parts that are cleared by an answer without a
+// length or chunks. If the instance crashes between two events of it, the answer looks complete.
 func TestAnswerThatEndsWithItsConnectionSpeaksForNoPart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		known := &fakeQuarantine{suspects: true}
+		tracker := &fakeQuarantine{suspects: true}
 		sent := request("safe")
 		sent.Prompt = []gateway.PromptPart{{ID: "first"}, {ID: "own"}}
-		serveQuarantined(&script{answers: []answer{{status: 200, body: "well", framing: gateway.FramedByConnection}}}, known, sent, view())
-		if known.served != 1 || len(known.servedParts) > 0 || len(known.sound) > 0 {
-			t.Errorf("served %d times with parts %v, told as harmless %v", known.served, known.servedParts, known.sound)
+		serveQuarantined(&script{answers: []answer{{status: 200, body: "well", framing: gateway.FramedByConnection}}}, tracker, sent, view())
+		if tracker.served != 1 || len(tracker.servedParts) > 0 || len(tracker.harmless) > 0 {
+			t.Errorf("served %d times with parts %v, reported as harmless %v", tracker.served, tracker.servedParts, tracker.harmless)
 		}
 	})
 }
