--- a/gateway/benchmark_test.go
+++ b/gateway/benchmark_test.go
@@ -46,7 +46,7 @@
 func (silentDemand) Enter(string, string) func()               { return func() {} }
 func (silentDemand) Refused(string, string)                    {}
 
-// silentDemand is a gateway.Demand that ignores all reports.
+// silentDemand is a gateway.DemandObserver that ignores all reports.
 type silentDemand struct{}
 
 // serveImmediately returns a function that serves a request at an idle instance, by the given route.
@@ -61,7 +61,8 @@
 	}
 }
 
-// BenchmarkServe measures requests that do not wait: urgent ones, and background requests, which would yield to them.
+// BenchmarkServe guards against slower handling of requests that do not wait: urgent ones, and background requests, which
+// would yield to them.
 func BenchmarkServe(b *testing.B) {
 	for name, route := range map[string]string{"urgent": "stream", "background": "resume"} {
 		b.Run(name, func(b *testing.B) {
--- a/placement/apply.go
+++ b/placement/apply.go
@@ -7,7 +7,8 @@
 )
 
 // Apply returns the record after an operation. It returns false if the
-// operation no longer fits the record or its memory.
+// operation changes nothing in the record, or if the back end's memory does not
+// suffice.
 func Apply(record api.Placement, memoryBytes int64, operation Operation, now time.Time) (api.Placement, bool) {
 	next := record.Clone()
 	switch operation.Kind {
@@ -33,14 +34,14 @@
 	for _, entry := range operation.Entries {
 		entry.Since = now.UnixMilli()
 		entry.Reason = operation.Reason
-		known := next.Find(entry.Artifact)
+		existing := next.Find(entry.Artifact)
 		switch {
-		case known == nil:
+		case existing == nil:
 			next.Entries = append(next.Entries, entry)
 			added = true
-		case known.Phase == api.PhaseReleasing:
-			// Its memory is still reserved, so it can simply be kept.
-			*known = entry
+		case existing.Phase == api.PhaseReleasing:
+			// Its memory is still reserved, so the entry is held again.
+			*existing = entry
 			added = true
 		}
 	}
@@ -50,8 +51,8 @@
 	return next, true
 }
 
-// applyToReplica changes the weights named by the operation and, for weights,
-// the adapters on top of them.
+// applyToReplica changes the held entry of the operation's artifact and, if it is
+// weights, the held entries of their adapters.
 func applyToReplica(next api.Placement, operation Operation, change func(*api.PlacementEntry)) (api.Placement, bool) {
 	changed := false
 	for i := range next.Entries {
@@ -71,7 +72,8 @@
 	return next, changed
 }
 
-// MayRely reports whether a release may rely on the replica in this record.
+// MayRely reports whether the release of another replica may rely on the artifact
+// in this record.
 func MayRely(record api.Placement, artifact api.Artifact) bool {
 	entry := record.Find(artifact)
 	return entry != nil && entry.Phase == api.PhaseHeld && entry.Anchor && !entry.Moving && !record.Emptying()
--- a/placement/grow.go
+++ b/placement/grow.go
@@ -8,8 +8,8 @@
 	"github.com/wheatweir/wheatweir/rendezvous"
 )
 
-// addReplicas gives each model its first missing replica, then each its
-// second, and so on.
+// addReplicas adds missing replicas: the first one of each model, then the second
+// one of each, and so on.
 func (p *plan) addReplicas(views []*modelView) {
 	for _, view := range views {
 		p.addPinned(view)
@@ -36,9 +36,9 @@
 	}
 }
 
-// spread adds an anchor elsewhere if all are in one region although there is
-// another, or in one zone although there is another. The anchor that is
-// then too many is trimmed later.
+// spread adds an anchor in another region if all replicas are in one region, or
+// in another zone if all are in one zone, as far as there is a usable back end
+// elsewhere. The surplus anchor is trimmed later.
 func (p *plan) spread(view *modelView) {
 	if view.suspended > 0 || view.model.Model.MinReplicas < 2 || len(view.replicas) < view.model.Model.MinReplicas {
 		return
@@ -51,17 +51,17 @@
 		sameZone = sameZone && backEnd.Zone == first.Zone
 	}
 	switch {
-	case sameRegion && p.otherPlace(func(b *BackEnd) bool { return b.Region != first.Region }):
+	case sameRegion && p.hasUsableBackEnd(func(b *BackEnd) bool { return b.Region != first.Region }):
 		p.addReplica(view, "all replicas are in one region")
-	case sameZone && p.otherPlace(func(b *BackEnd) bool { return b.Zone != first.Zone }):
+	case sameZone && p.hasUsableBackEnd(func(b *BackEnd) bool { return b.Zone != first.Zone }):
 		p.addReplica(view, "all replicas are in one zone")
 	}
 }
 
-// otherPlace reports whether a usable back end is in another place.
-func (p *plan) otherPlace(elsewhere func(*BackEnd) bool) bool {
+// hasUsableBackEnd reports whether any usable back end matches.
+func (p *plan) hasUsableBackEnd(matches func(*BackEnd) bool) bool {
 	for i := range p.backEnds {
-		if p.backEnds[i].usable() && elsewhere(&p.backEnds[i]) {
+		if p.backEnds[i].usable() && matches(&p.backEnds[i]) {
 			return true
 		}
 	}
@@ -71,36 +71,36 @@
 func (p *plan) addPinned(view *modelView) {
 	for _, name := range view.model.Model.Pins {
 		i, found := p.byName[name]
-		if !found || holds(view.replicas, i) || !p.backEnds[i].usable() {
+		if !found || includesBackEnd(view.replicas, i) || !p.backEnds[i].usable() {
 			continue
 		}
 		bytes := view.model.Model.Bytes()
-		if p.free[i] >= bytes && !p.touched[name] {
+		if p.freeBytes[i] >= bytes && !p.modified[name] {
 			p.add(view, i, bytes, true, "pinned by an operator")
 		}
 	}
 }
 
-// addAdapters reserves adapters that a replica lacks.
+// addAdapters reserves memory for configured adapters that a replica lacks.
 func (p *plan) addAdapters(view *modelView) {
 	for _, replica := range view.replicas {
 		backEnd := &p.backEnds[replica.backEnd]
 		var missing []api.PlacementEntry
 		var bytes int64
 		for _, entry := range adapterEntries(view, replica.entry.Anchor) {
-			known := backEnd.Placement.Find(entry.Artifact)
-			if known == nil || known.Phase == api.PhaseReleasing {
+			existing := backEnd.Placement.Find(entry.Artifact)
+			if existing == nil || existing.Phase == api.PhaseReleasing {
 				missing = append(missing, entry)
 				bytes += entry.Bytes
 			}
 		}
-		if len(missing) == 0 || p.touched[backEnd.Name] {
+		if len(missing) == 0 || p.modified[backEnd.Name] {
 			continue
 		}
-		if p.free[replica.backEnd] < bytes {
+		if p.freeBytes[replica.backEnd] < bytes {
 			continue
 		}
-		p.free[replica.backEnd] -= bytes
+		p.freeBytes[replica.backEnd] -= bytes
 		p.emit(Operation{
 			Kind: OperationAdd, BackEnd: backEnd.Name, IfVersion: backEnd.Version,
 			Artifact: view.weights, Entries: missing, Reason: "adapter configured",
@@ -108,7 +108,8 @@
 	}
 }
 
-// promote makes surplus replicas anchors when there are too few anchors.
+// promote makes surplus replicas anchors while there are fewer anchors than the
+// minimum number of replicas.
 func (p *plan) promote(view *modelView) {
 	anchors := 0
 	for _, replica := range view.replicas {
@@ -122,7 +123,7 @@
 		if anchors >= view.model.Model.MinReplicas {
 			return
 		}
-		if replica.entry.Anchor || p.touched[backEnd.Name] {
+		if replica.entry.Anchor || p.modified[backEnd.Name] {
 			continue
 		}
 		anchors++
@@ -145,27 +146,27 @@
 	return entries
 }
 
-// addReplica adds one replica on the best back end that has room. Replicas above
-// the minimum leave some memory spare; a reason says why one is needed although
-// demand asks for none.
+// addReplica adds one replica on the best back end with enough memory. Replicas
+// above the minimum must leave the spare memory free. A reason is given if the
+// replica is needed regardless of demand; it is then an anchor.
 func (p *plan) addReplica(view *modelView, reason string) {
 	bytes := view.model.Model.Bytes()
 	spareNeeded := int64(0)
-	above := len(view.replicas) >= view.model.Model.MinReplicas
-	if above {
+	aboveMinimum := len(view.replicas) >= view.model.Model.MinReplicas
+	if aboveMinimum {
 		spareNeeded = int64(p.snapshot.Settings.SpareFraction * float64(p.totalBytes))
 	}
-	if p.totalFree-bytes < spareNeeded {
+	if p.totalFreeBytes-bytes < spareNeeded {
 		return
 	}
 	best := p.bestBackEnd(view, bytes)
 	if best < 0 {
 		return
 	}
-	anchor := !above || reason != ""
+	anchor := !aboveMinimum || reason != ""
 	switch {
 	case reason != "":
-	case !above:
+	case !aboveMinimum:
 		reason = "fewer replicas than the minimum"
 	default:
 		reason = fmt.Sprintf("demand %.1f over %d replicas", view.model.Demand.Fast, len(view.replicas))
@@ -177,40 +178,40 @@
 	backEnd := &p.backEnds[index]
 	version, _ := view.model.Model.ServingVersion()
 	weights := api.PlacementEntry{Artifact: view.weights, Bytes: version.Bytes, Phase: api.PhaseHeld, Anchor: anchor}
-	p.free[index] -= bytes
-	p.totalFree -= bytes
-	view.replicas = append(view.replicas, holding{index, weights})
+	p.freeBytes[index] -= bytes
+	p.totalFreeBytes -= bytes
+	view.replicas = append(view.replicas, placedReplica{index, weights})
 	p.emit(Operation{
 		Kind: OperationAdd, BackEnd: backEnd.Name, IfVersion: backEnd.Version, Artifact: view.weights,
 		Entries: append([]api.PlacementEntry{weights}, adapterEntries(view, anchor)...), Reason: reason,
 	})
 }
 
-// bestBackEnd picks the back end for one more replica: one that has room and
-// does not hold the model. Anchors go to a region and zone with the fewest
-// replicas of it; replicas for demand go where the load is least. After that the
-// largest share of free memory counts. Several daemons plan at once, so near-equal
-// back ends are told apart by a hash of model and back end, which spreads the
-// choices and saves lost races.
+// bestBackEnd returns the index of the back end for one more replica, or -1. The back
+// end must have enough memory and not hold the model. Anchors go to the region and
+// zone with the fewest replicas of the model, surplus replicas to the back end with
+// the least load. The next criterion is the largest fraction of free memory. Several
+// daemons plan concurrently: a hash of model and back end decides between back ends
+// with similar scores, so that daemons choose different ones and lose fewer races.
 func (p *plan) bestBackEnd(view *modelView, bytes int64) int {
 	best, bestScore := -1, math.Inf(-1)
 	for i := range p.backEnds {
 		backEnd := &p.backEnds[i]
-		if !backEnd.usable() || p.free[i] < bytes || p.touched[backEnd.Name] {
+		if !backEnd.usable() || p.freeBytes[i] < bytes || p.modified[backEnd.Name] {
 			continue
 		}
-		if backEnd.Placement.Find(view.weights) != nil || holds(view.replicas, i) {
+		if backEnd.Placement.Find(view.weights) != nil || includesBackEnd(view.replicas, i) {
 			continue
 		}
-		score := float64(p.free[i]) / float64(backEnd.MemoryBytes)
-		score -= loadPenalty * backEnd.loadShare()
+		score := float64(p.freeBytes[i]) / float64(backEnd.MemoryBytes)
+		score -= loadPenalty * backEnd.utilization()
 		inZone, inRegion := p.replicasNear(view, backEnd)
 		spread := zonePenalty*float64(inZone) + regionPenalty*float64(inRegion)
 		if len(view.replicas) >= view.model.Model.MinReplicas {
-			spread *= surplusSpreadShare
+			spread *= surplusSpreadFactor
 		}
 		score -= spread
-		score += spreadShare * float64(rendezvous.Weight(view.model.Model.Name, backEnd.Name)) / math.MaxUint64
+		score += hashWeight * float64(rendezvous.Weight(view.model.Model.Name, backEnd.Name)) / math.MaxUint64
 		if score > bestScore {
 			best, bestScore = i, score
 		}
@@ -219,20 +220,20 @@
 }
 
 const (
-	// zonePenalty makes a zone without a replica win over any free share, and
-	// regionPenalty a region without one over any zone.
+	// zonePenalty makes a zone without a replica outweigh any fraction of free
+	// memory, and regionPenalty a region without one outweigh any zone.
 	zonePenalty   = 2.0
 	regionPenalty = 4.0
-	// surplusSpreadShare is how much of these counts for replicas above the
+	// surplusSpreadFactor scales these penalties for replicas above the
 	// minimum.
-	surplusSpreadShare = 0.05
-	// loadPenalty is the cost of a back end whose batch is full.
+	surplusSpreadFactor = 0.05
+	// loadPenalty is the penalty of a back end whose batch slots are all in use.
 	loadPenalty = 1.0
-	// spreadShare is how much of the score the hash may decide.
-	spreadShare = 0.2
+	// hashWeight is the largest contribution of the hash to the score.
+	hashWeight = 0.2
 )
 
-// replicasNear counts the model's replicas in the zone and region of a back end.
+// replicasNear counts the model's replicas in the back end's zone and in its region.
 func (p *plan) replicasNear(view *modelView, backEnd *BackEnd) (inZone, inRegion int) {
 	for _, replica := range view.replicas {
 		other := &p.backEnds[replica.backEnd]
@@ -246,7 +247,7 @@
 	return inZone, inRegion
 }
 
-func holds(replicas []holding, index int) bool {
+func includesBackEnd(replicas []placedReplica, index int) bool {
 	for _, replica := range replicas {
 		if replica.backEnd == index {
 			return true
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -46,7 +46,7 @@
 	return placement.Snapshot{Now: time.Unix(100000, 0), BackEnds: backEnds, Models: models, Settings: placement.DefaultSettings()}
 }
 
-func describe(operations []placement.Operation) string {
+func format(operations []placement.Operation) string {
 	text := ""
 	for _, operation := range operations {
 		text += fmt.Sprintf("%s %s@%s;", operation.Kind, operation.Artifact, operation.BackEnd)
@@ -93,37 +93,37 @@
 		want     string
 	}{
 		{"replicas go to different zones", []placement.BackEnd{backEnd("a", "1"), backEnd("b", "1"), backEnd("c", "2")}, model("m", "v1", 2), "zones 2"},
-		{"nothing to do", []placement.BackEnd{backEnd("a", "1", held(v1, 20*gib)), backEnd("b", "2", held(v1, 20*gib))}, model("m", "v1", 2), ""},
+		{"no change is needed", []placement.BackEnd{backEnd("a", "1", held(v1, 20*gib)), backEnd("b", "2", held(v1, 20*gib))}, model("m", "v1", 2), ""},
 		{"a lost replica is replaced", []placement.BackEnd{down(backEnd("a", "1", held(v1, 20*gib))), backEnd("b", "2", held(v1, 20*gib)), backEnd("c", "3")}, model("m", "v1", 2), "add m@v1@c;"},
 		{"a suspended replica is not replaced yet", []placement.BackEnd{suspended(backEnd("a", "1", held(v1, 20*gib))), backEnd("b", "2", held(v1, 20*gib)), backEnd("c", "3")}, model("m", "v1", 2), ""},
 		{"a model with only suspended replicas gets another", []placement.BackEnd{suspended(backEnd("a", "1", held(v1, 20*gib))), backEnd("c", "3")}, model("m", "v1", 2), "add m@v1@c;"},
-		{"no room, no operation", []placement.BackEnd{backEnd("a", "1", held(weights("x", "v1"), 70*gib))}, model("m", "v1", 1), ""},
+		{"no operation without enough memory", []placement.BackEnd{backEnd("a", "1", held(weights("x", "v1"), 70*gib))}, model("m", "v1", 1), ""},
 		{"demand adds replicas", []placement.BackEnd{backEnd("a", "1", held(v1, 20*gib)), backEnd("b", "2"), backEnd("c", "3")}, busy, "adds 2"},
 		{"demand adds nothing while no engine with the model has reported", []placement.BackEnd{unreported(backEnd("a", "1", held(v1, 20*gib))), backEnd("b", "2")}, busy, ""},
-		{"a surplus replica goes after its stay", []placement.BackEnd{backEnd("a", "1", held(v1, 20*gib)), backEnd("b", "2", surplus)}, model("m", "v1", 1), "release m@v1@b;"},
-		{"a replaced version is marked first", []placement.BackEnd{backEnd("a", "1", held(v1, 20*gib)), backEnd("b", "2", held(v2, 20*gib))}, model("m", "v2", 1), "mark_moving m@v1@a;"},
-		{"a replaced version goes once the new one serves", []placement.BackEnd{backEnd("a", "1", moving(held(v1, 20*gib))), backEnd("b", "2", held(v2, 20*gib))}, model("m", "v2", 1), "release m@v1@a;"},
-		{"a drained replica stays until others serve", []placement.BackEnd{drained(backEnd("a", "1", moving(held(v1, 20*gib)))), backEnd("b", "2")}, model("m", "v1", 1), "add m@v1@b;"},
-		{"two versions on one engine are one engine", []placement.BackEnd{
+		{"a surplus replica is released after its minimum stay", []placement.BackEnd{backEnd("a", "1", held(v1, 20*gib)), backEnd("b", "2", surplus)}, model("m", "v1", 1), "release m@v1@b;"},
+		{"a replaced version is marked as moving first", []placement.BackEnd{backEnd("a", "1", held(v1, 20*gib)), backEnd("b", "2", held(v2, 20*gib))}, model("m", "v2", 1), "mark_moving m@v1@a;"},
+		{"a replaced version is released once the new one serves", []placement.BackEnd{backEnd("a", "1", moving(held(v1, 20*gib))), backEnd("b", "2", held(v2, 20*gib))}, model("m", "v2", 1), "release m@v1@a;"},
+		{"a drained replica is kept until others serve", []placement.BackEnd{drained(backEnd("a", "1", moving(held(v1, 20*gib)))), backEnd("b", "2")}, model("m", "v1", 1), "add m@v1@b;"},
+		{"two versions on one engine count once", []placement.BackEnd{
 			backEnd("a", "1", held(v2, 20*gib), moving(held(v1, 20*gib))), drained(backEnd("b", "2", moving(held(v2, 20*gib)))),
 			loading(backEnd("c", "3", held(v2, 20*gib))),
 		}, model("m", "v2", 2), "release m@v1@a;"},
-		{"an old version is kept while its engine is one of the two that serve", []placement.BackEnd{
+		{"an old version is kept while its engine is needed for the minimum", []placement.BackEnd{
 			backEnd("a", "1", held(v2, 20*gib)), backEnd("b", "2", moving(held(v1, 20*gib))), loading(backEnd("c", "3", held(v2, 20*gib))),
 		}, model("m", "v2", 2), ""},
-		{"an old version goes from an engine that serves the new one", []placement.BackEnd{
+		{"an old version is released on an engine that serves the new one", []placement.BackEnd{
 			backEnd("a", "1", held(v2, 20*gib), moving(held(v1, 20*gib))), backEnd("b", "2", moving(held(v1, 20*gib))), loading(backEnd("c", "3", held(v2, 20*gib))),
 		}, model("m", "v2", 2), "release m@v1@a;"},
-		{"a replica marked to go is kept if it is needed", []placement.BackEnd{backEnd("a", "1", moving(held(v1, 20*gib)))}, model("m", "v1", 1), "keep m@v1@a;"},
+		{"a moving replica is kept if it is needed", []placement.BackEnd{backEnd("a", "1", moving(held(v1, 20*gib)))}, model("m", "v1", 1), "keep m@v1@a;"},
 		{"replicas in one zone are spread", []placement.BackEnd{backEnd("a", "1", held(v1, 20*gib)), backEnd("b", "1", held(v1, 20*gib)), backEnd("c", "2")}, model("m", "v1", 2), "add m@v1@c;"},
-		{"the anchor too many goes from the crowded zone", []placement.BackEnd{backEnd("a", "1", held(v1, 20*gib)), backEnd("b", "1", held(v1, 20*gib)), backEnd("c", "2", held(v1, 20*gib))}, model("m", "v1", 2), "mark_moving m@v1@b;"},
+		{"the surplus anchor is released in the zone with most replicas", []placement.BackEnd{backEnd("a", "1", held(v1, 20*gib)), backEnd("b", "1", held(v1, 20*gib)), backEnd("c", "2", held(v1, 20*gib))}, model("m", "v1", 2), "mark_moving m@v1@b;"},
 		{"a deleted adapter is released", []placement.BackEnd{backEnd("a", "1", held(v1, 20*gib), held(api.Artifact{Model: "m", Version: "v1", Adapter: "old"}, gib))}, model("m", "v1", 1), "release m@v1+old@a;"},
 		{"a deleted model is released", []placement.BackEnd{backEnd("a", "1", held(v1, 20*gib))}, deleted, "release m@v1@a;"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			operations := placement.Plan(snapshot(c.backEnds, c.model))
-			got := describe(operations)
+			got := format(operations)
 			switch c.want {
 			case "zones 2":
 				if len(operations) != 2 || (operations[0].BackEnd != "c") == (operations[1].BackEnd != "c") {
@@ -148,41 +148,42 @@
 	releasing := held(v1, 20*gib)
 	releasing.Phase = api.PhaseReleasing
 	cases := []struct {
-		name    string
-		entry   api.PlacementEntry
-		fenced  bool
-		report  api.Report
-		orders  string
-		dropped bool
+		name        string
+		entry       api.PlacementEntry
+		checksFence bool
+		report      api.Report
+		orders      string
+		changed     bool
 	}{
-		{"load what is missing", held(v1, gib), true, api.Report{}, "load m@v1 7;", false},
-		{"nothing for what is there", held(v1, gib), true, api.Report{Residents: []api.Artifact{v1}}, "", false},
-		{"nothing for what is loading", held(v1, gib), true, api.Report{Loading: []api.Artifact{v1}}, "", false},
+		{"a missing artifact is loaded", held(v1, gib), true, api.Report{}, "load m@v1 7;", false},
+		{"no order for a resident artifact", held(v1, gib), true, api.Report{Residents: []api.Artifact{v1}}, "", false},
+		{"no order for a loading artifact", held(v1, gib), true, api.Report{Loading: []api.Artifact{v1}}, "", false},
 		{"an adapter waits for its weights", held(adapter, gib), true, api.Report{}, "", false},
-		{"an adapter follows its weights", held(adapter, gib), true, api.Report{Residents: []api.Artifact{v1}}, "load m@v1+a 7;", false},
-		{"unload what is releasing", releasing, true, api.Report{Residents: []api.Artifact{v1}}, "unload m@v1 7;", false},
-		{"raise the fence although nothing is there", releasing, true, api.Report{Fence: 6}, "unload m@v1 7;", false},
-		{"end the reservation at the fence", releasing, true, api.Report{Fence: 7}, "", true},
-		{"keep it while memory is occupied", releasing, true, api.Report{Fence: 7, Loading: []api.Artifact{v1}}, "unload m@v1 7;", false},
-		{"never end it without a checked fence", releasing, false, api.Report{Fence: 99}, "", false},
+		{"an adapter is loaded once its weights serve", held(adapter, gib), true, api.Report{Residents: []api.Artifact{v1}}, "load m@v1+a 7;", false},
+		{"a releasing artifact is unloaded", releasing, true, api.Report{Residents: []api.Artifact{v1}}, "unload m@v1 7;", false},
+		{"an unload raises the fence although the artifact is gone", releasing, true, api.Report{Fence: 6}, "unload m@v1 7;", false},
+		{"the reservation ends at the fence", releasing, true, api.Report{Fence: 7}, "", true},
+		{"the reservation stays while the artifact is loading", releasing, true, api.Report{Fence: 7, Loading: []api.Artifact{v1}}, "unload m@v1 7;", false},
+		{"the reservation never ends without a checked fence", releasing, false, api.Report{Fence: 99}, "", false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			record := api.Placement{BackEnd: "a", Entries: []api.PlacementEntry{c.entry}}
-			result := placement.Reconcile(record, 7, c.fenced, &c.report, 2)
+			result := placement.Reconcile(record, 7, c.checksFence, &c.report, 2)
 			got := ""
 			for _, order := range result.Orders {
 				got += fmt.Sprintf("%s %s %d;", order.Kind, order.Artifact, order.Fence)
 			}
-			if got != c.orders || result.RecordChanged != c.dropped {
-				t.Fatalf("orders %q changed %v, want %q and %v", got, result.RecordChanged, c.orders, c.dropped)
+			if got != c.orders || result.RecordChanged != c.changed {
+				t.Fatalf("orders %q changed %v, want %q and %v", got, result.RecordChanged, c.orders, c.changed)
 			}
 		})
 	}
 }
 
-// TestPlansNeverOvercommit applies plans of random worlds, made by planners that
-// see different moments, and checks each record against its memory.
+// TestPlansNeverOvercommit guards against records that reserve more memory than the
+// back end has. It applies plans that several planners make for random models, from
+// states that may be outdated.
 func TestPlansNeverOvercommit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 6).Draw(t, "back ends")
@@ -204,7 +205,8 @@
 	})
 }
 
-// applyIfCurrent does what the object API's conditional update does.
+// applyIfCurrent applies an operation if the record still has the version that it
+// was planned on, like the object API's conditional update.
 func applyIfCurrent(t *rapid.T, backEnds []placement.BackEnd, operation placement.Operation) {
 	for i := range backEnds {
 		b := &backEnds[i]
@@ -222,7 +224,7 @@
 	}
 }
 
-// BenchmarkPlan is a full plan of 600 models on 600 servers.
+// BenchmarkPlan measures a full plan of 600 models on 600 back ends.
 func BenchmarkPlan(b *testing.B) {
 	const size = 600
 	var backEnds []placement.BackEnd
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -7,8 +7,8 @@
 	"github.com/wheatweir/wheatweir/api"
 )
 
-// Plan returns the operations that bring the models of the snapshot closer to
-// where they should be. Models with a higher priority are planned first, and
+// Plan returns the operations that bring the placement of the snapshot's models
+// closer to the desired one. Models with a higher priority are planned first, and
 // every model gets its first replica before any gets its second.
 func Plan(snapshot Snapshot) []Operation {
 	plan := newPlan(snapshot)
@@ -36,49 +36,51 @@
 	return plan.operations
 }
 
-// plan collects the operations of one round.
+// plan is the state of one planning round.
 type plan struct {
-	snapshot Snapshot
-	backEnds []BackEnd
-	byName   map[string]int
-	byModel  map[string][]holding
-	free     []int64
-	// typical is the size of a typical model; memory counts as free in whole
-	// multiples of it, since what is left over beside them takes no replica.
-	typical    int64
-	totalFree  int64
-	totalBytes int64
-	touched    map[string]bool
+	snapshot  Snapshot
+	backEnds  []BackEnd
+	byName    map[string]int
+	byModel   map[string][]placedReplica
+	freeBytes []int64
+	// typicalModelBytes is the mean size of the models. Free memory counts in
+	// whole multiples of it, since a smaller remainder fits no replica.
+	typicalModelBytes int64
+	totalFreeBytes    int64
+	totalBytes        int64
+	// modified contains the back ends whose record gets an operation other
+	// than OperationAdd in this round. They get no further operation.
+	modified   map[string]bool
 	operations []Operation
 }
 
-// holding is one entry for weights in one record.
-type holding struct {
+// placedReplica is an entry for weights in the record of a back end.
+type placedReplica struct {
 	backEnd int
 	entry   api.PlacementEntry
 }
 
 func newPlan(snapshot Snapshot) *plan {
 	p := &plan{
-		snapshot: snapshot,
-		backEnds: snapshot.BackEnds,
-		byName:   make(map[string]int, len(snapshot.BackEnds)),
-		byModel:  make(map[string][]holding),
-		typical:  typicalBytes(snapshot.Models),
-		free:     make([]int64, len(snapshot.BackEnds)),
-		touched:  map[string]bool{},
+		snapshot:          snapshot,
+		backEnds:          snapshot.BackEnds,
+		byName:            make(map[string]int, len(snapshot.BackEnds)),
+		byModel:           make(map[string][]placedReplica),
+		typicalModelBytes: meanModelBytes(snapshot.Models),
+		freeBytes:         make([]int64, len(snapshot.BackEnds)),
+		modified:          map[string]bool{},
 	}
 	for i := range p.backEnds {
 		backEnd := &p.backEnds[i]
 		p.byName[backEnd.Name] = i
-		p.free[i] = backEnd.free()
+		p.freeBytes[i] = backEnd.freeBytes()
 		if backEnd.usable() {
-			p.totalFree += p.wholeReplicas(p.free[i])
+			p.totalFreeBytes += p.roundToModelSize(p.freeBytes[i])
 			p.totalBytes += backEnd.MemoryBytes
 		}
 		for _, entry := range backEnd.Placement.Entries {
 			if entry.Artifact.Adapter == "" {
-				p.byModel[entry.Artifact.Model] = append(p.byModel[entry.Artifact.Model], holding{i, entry})
+				p.byModel[entry.Artifact.Model] = append(p.byModel[entry.Artifact.Model], placedReplica{i, entry})
 			}
 		}
 	}
@@ -91,21 +93,21 @@
 	weights api.Artifact
 	desired int
 	// replicas are the held entries of the serving version on usable back
-	// ends that others may rely on.
-	replicas []holding
-	// retiring are the other held entries: old versions, entries marked as
+	// ends that are not moving, so that releases may rely on them.
+	replicas []placedReplica
+	// retiring are the other held entries: other versions, entries marked as
 	// moving, and entries on back ends that are drained or leaving.
-	retiring []holding
+	retiring []placedReplica
 	// suspended counts the replicas on suspended back ends.
 	suspended int
-	// released says that a release was planned in this round. One at a time
-	// keeps two releases from counting on each other.
-	released bool
+	// releasePlanned says that a release was planned in this round. A second
+	// one could rely on the replica that the first one releases.
+	releasePlanned bool
 }
 
-// inRecords counts the replicas that are in records already, and not only
-// planned in this round.
-func (v *modelView) inRecords() int {
+// recordedReplicas counts the replicas that are already in records, without
+// those planned in this round.
+func (v *modelView) recordedReplicas() int {
 	count := 0
 	for _, replica := range v.replicas {
 		if replica.entry.Since != 0 {
@@ -139,12 +141,12 @@
 	return view
 }
 
-// emit adds an operation. Reservations on the same record are merged into one
-// write by the caller; every other operation is the only one on its record in
-// this round, because its condition was checked on the record as it is.
+// emit adds an operation to the plan. The caller merges reservations on the same
+// record into one write. Any other operation is the only one on its record in
+// this round, because its condition was checked on the present record.
 func (p *plan) emit(operation Operation) {
 	if operation.Kind != OperationAdd {
-		p.touched[operation.BackEnd] = true
+		p.modified[operation.BackEnd] = true
 	}
 	p.operations = append(p.operations, operation)
 }
--- a/placement/reconcile.go
+++ b/placement/reconcile.go
@@ -2,30 +2,34 @@
 
 import "github.com/wheatweir/wheatweir/api"
 
-// Reconciliation is what makes an engine follow its record.
+// Reconciliation is the result of Reconcile.
 type Reconciliation struct {
-	// Orders to send now, at most one load of weights per free load slot.
+	// Orders are the orders to send now, with at most one load of weights per
+	// free load slot.
 	Orders []api.Order
-	// Record is the record without the reservations that have ended, and
-	// RecordChanged says whether it differs from the input.
+	// Record is the record without the reservations that have ended.
+	// RecordChanged says whether it differs from the input. If it does, there
+	// are no orders.
 	Record        api.Placement
 	RecordChanged bool
 }
 
 // Reconcile compares a record with what the engine reports. The version is
-// that of the record, and loadSlots is how many loads may be started.
+// that of the record, and loadSlots is the maximum number of concurrent loads
+// of weights.
 func Reconcile(record api.Placement, version uint64, checksFence bool, report *api.Report, loadSlots int) Reconciliation {
 	result := Reconciliation{Record: record}
 	var kept []api.PlacementEntry
 	for _, entry := range record.Entries {
-		if entry.Phase == api.PhaseReleasing && hasLetGo(entry, version, checksFence, report) {
+		if entry.Phase == api.PhaseReleasing && reservationEnded(entry, version, checksFence, report) {
 			result.RecordChanged = true
 			continue
 		}
 		kept = append(kept, entry)
 	}
 	if result.RecordChanged {
-		// Orders wait for the next round, under the version of this change.
+		// Orders are sent in the next round, with the record version that
+		// results from this change.
 		result.Record = record.Clone()
 		result.Record.Entries = kept
 		return result
@@ -35,9 +39,9 @@
 	return result
 }
 
-// hasLetGo reports whether no order that was ever sent can still make the
-// engine hold the artifact.
-func hasLetGo(entry api.PlacementEntry, version uint64, checksFence bool, report *api.Report) bool {
+// reservationEnded reports whether the engine does not hold the artifact and no
+// order sent earlier can still make it load the artifact.
+func reservationEnded(entry api.PlacementEntry, version uint64, checksFence bool, report *api.Report) bool {
 	return checksFence && report.Fence >= version && !report.Holds(entry.Artifact)
 }
 
@@ -57,8 +61,8 @@
 		if entry.Phase != api.PhaseReleasing {
 			continue
 		}
-		// An engine that no longer holds the artifact still gets the order
-		// if it checks fences: the order is what raises its fence.
+		// An engine that no longer holds the artifact still gets the order if
+		// it checks fences, because the order raises its fence.
 		if !report.Holds(entry.Artifact) && !checksFence {
 			continue
 		}
@@ -72,10 +76,10 @@
 	return append(adapters, weights...)
 }
 
-// loadOrders returns loads in the order of the record, and adapters once their
-// weights serve. Adapters are small, so they take no slot of their own: a
-// replica whose adapters came one poll after another would stay useless for
-// many requests.
+// loadOrders returns the loads in the order of the record's entries. Adapters are
+// loaded once their weights serve. They are small, so they take no load slot:
+// if one adapter were loaded per poll, the replica could not serve many of its
+// requests for a long time.
 func loadOrders(record api.Placement, version uint64, report *api.Report, slots int) []api.Order {
 	var orders []api.Order
 	for _, entry := range record.Entries {
--- a/placement/retire.go
+++ b/placement/retire.go
@@ -7,11 +7,12 @@
 	"github.com/wheatweir/wheatweir/api"
 )
 
-// retire takes away replicas that should go, once others are seen to serve.
+// retire releases the retiring replicas once enough other replicas are reported
+// to serve, and keeps a moving one that is needed again.
 func (p *plan) retire(view *modelView) {
 	for _, held := range view.retiring {
 		backEnd := &p.backEnds[held.backEnd]
-		if p.touched[backEnd.Name] {
+		if p.modified[backEnd.Name] {
 			continue
 		}
 		wanted := held.entry.Artifact == view.weights && backEnd.usable()
@@ -22,11 +23,11 @@
 			})
 			continue
 		}
-		p.retireOne(view, held, retireReason(view, backEnd, held))
+		p.advanceRetirement(view, held, retireReason(view, backEnd, held))
 	}
 }
 
-func retireReason(view *modelView, backEnd *BackEnd, held holding) string {
+func retireReason(view *modelView, backEnd *BackEnd, held placedReplica) string {
 	switch {
 	case held.entry.Artifact != view.weights:
 		return "version replaced by " + view.weights.Version
@@ -39,9 +40,9 @@
 	}
 }
 
-// retireOne takes the next step to release a replica: mark it as moving, or
-// release it if enough other replicas are observed to serve.
-func (p *plan) retireOne(view *modelView, held holding, reason string) {
+// advanceRetirement plans the next step of releasing a replica: it is marked as
+// moving first, and released once enough other replicas are reported to serve.
+func (p *plan) advanceRetirement(view *modelView, held placedReplica, reason string) {
 	backEnd := &p.backEnds[held.backEnd]
 	if !held.entry.Moving {
 		p.emit(Operation{
@@ -50,11 +51,11 @@
 		})
 		return
 	}
-	relied, serving := p.servingWithout(view, held)
-	if relied == "" || serving < view.model.Model.MinReplicas || view.released {
+	relied, serving := p.countServingWithout(view, held)
+	if relied == "" || serving < view.model.Model.MinReplicas || view.releasePlanned {
 		return
 	}
-	view.released = true
+	view.releasePlanned = true
 	p.emit(Operation{
 		Kind: OperationRelease, BackEnd: backEnd.Name, IfVersion: backEnd.Version,
 		Artifact: held.entry.Artifact, Reason: reason,
@@ -62,11 +63,12 @@
 	})
 }
 
-// servingWithout counts the engines observed to serve the model without one of its
-// replicas, and names one of them whose anchor is there to stay. Replicas that are to
-// go count while they serve, so that an old version can make room for a new one step
-// by step; two versions on one engine are lost together and count once.
-func (p *plan) servingWithout(view *modelView, without holding) (string, int) {
+// countServingWithout counts the engines reported to serve the model, leaving out one
+// of its replicas. It also returns the name of one of them that holds an anchor which
+// is not retiring. Retiring replicas count while they serve, so that a new version can
+// replace an old one step by step. Two versions on one engine would be lost together,
+// so they count once.
+func (p *plan) countServingWithout(view *modelView, without placedReplica) (string, int) {
 	name, serving := "", map[int]bool{}
 	for _, replica := range view.replicas {
 		backEnd := &p.backEnds[replica.backEnd]
@@ -87,22 +89,22 @@
 	return name, len(serving)
 }
 
-func sameReplica(a, b holding) bool {
+func sameReplica(a, b placedReplica) bool {
 	return a.backEnd == b.backEnd && a.entry.Artifact == b.entry.Artifact
 }
 
 // releaseAdapters releases adapters that are no longer configured, at most one
-// for each back end in a round.
+// per back end and round.
 func (p *plan) releaseAdapters(view *modelView) {
 	for _, replica := range view.replicas {
 		backEnd := &p.backEnds[replica.backEnd]
 		for _, entry := range backEnd.Placement.Entries {
-			if p.touched[backEnd.Name] {
+			if p.modified[backEnd.Name] {
 				break
 			}
-			stray := entry.Artifact.Adapter != "" && entry.Artifact.Base() == view.weights &&
+			unconfigured := entry.Artifact.Adapter != "" && entry.Artifact.Base() == view.weights &&
 				entry.Phase == api.PhaseHeld && !view.model.Model.HasAdapter(entry.Artifact.Adapter)
-			if stray {
+			if unconfigured {
 				p.emit(Operation{
 					Kind: OperationRelease, BackEnd: backEnd.Name, IfVersion: backEnd.Version,
 					Artifact: entry.Artifact, Reason: "adapter deleted",
@@ -112,19 +114,20 @@
 	}
 }
 
-// trim gives up one replica more than desired. Replicas that are not anchors
-// go first, and only after their minimum stay unless memory is short.
+// trim releases one replica if there are more than desired. Replicas that are
+// not anchors are released first. A replica is kept for its minimum stay unless
+// memory is short.
 func (p *plan) trim(view *modelView) {
-	if view.inRecords() <= view.desired {
+	if view.recordedReplicas() <= view.desired {
 		return
 	}
 	for i := len(view.replicas) - 1; i >= 0; i-- {
 		replica := view.replicas[i]
 		backEnd := &p.backEnds[replica.backEnd]
-		if replica.entry.Since == 0 || p.touched[backEnd.Name] || slices.Contains(view.model.Model.Pins, backEnd.Name) {
+		if replica.entry.Since == 0 || p.modified[backEnd.Name] || slices.Contains(view.model.Model.Pins, backEnd.Name) {
 			continue
 		}
-		if !p.stayedLongEnough(replica) {
+		if !p.minimumStayElapsed(replica) {
 			continue
 		}
 		if replica.entry.Anchor {
@@ -139,11 +142,12 @@
 	p.trimAnchor(view)
 }
 
-// trimAnchor starts to give up an anchor above the minimum, such as one on a
-// back end that came back after its models were placed elsewhere.
+// trimAnchor starts to release an anchor above the minimum, such as one on a back
+// end that is reachable again after its models were placed elsewhere. It prefers
+// an anchor with many replicas of the model in the same region and zone.
 func (p *plan) trimAnchor(view *modelView) {
 	anchors := 0
-	last, mostCrowded := -1, 0
+	chosen, maxCrowding := -1, 0
 	for i, replica := range view.replicas {
 		backEnd := &p.backEnds[replica.backEnd]
 		name := backEnd.Name
@@ -151,20 +155,20 @@
 			continue
 		}
 		anchors++
-		movable := p.stayedLongEnough(replica) && !p.touched[name]
+		movable := p.minimumStayElapsed(replica) && !p.modified[name]
 		inZone, inRegion := p.replicasNear(view, backEnd)
-		crowded := 2*inRegion + inZone
-		if movable && crowded >= mostCrowded && !slices.Contains(view.model.Model.Pins, name) {
-			last, mostCrowded = i, crowded
+		crowding := 2*inRegion + inZone
+		if movable && crowding >= maxCrowding && !slices.Contains(view.model.Model.Pins, name) {
+			chosen, maxCrowding = i, crowding
 		}
 	}
-	if anchors <= max(view.model.Model.MinReplicas, len(view.model.Model.Pins)) || last < 0 {
+	if anchors <= max(view.model.Model.MinReplicas, len(view.model.Model.Pins)) || chosen < 0 {
 		return
 	}
-	p.retireOne(view, view.replicas[last], "more anchors than needed")
+	p.advanceRetirement(view, view.replicas[chosen], "more anchors than needed")
 }
 
-func (p *plan) stayedLongEnough(replica holding) bool {
+func (p *plan) minimumStayElapsed(replica placedReplica) bool {
 	if p.memoryIsShort() {
 		return true
 	}
@@ -172,11 +176,11 @@
 	return stayed >= p.snapshot.Settings.MinimumStay.Milliseconds()
 }
 
-// releaseDeleted releases everything of a model that no longer exists.
+// releaseDeleted releases all replicas of a deleted model.
 func (p *plan) releaseDeleted(name string) {
 	for _, held := range p.byModel[name] {
 		backEnd := &p.backEnds[held.backEnd]
-		if held.entry.Phase != api.PhaseHeld || p.touched[backEnd.Name] {
+		if held.entry.Phase != api.PhaseHeld || p.modified[backEnd.Name] {
 			continue
 		}
 		p.emit(Operation{
--- a/placement/types.go
+++ b/placement/types.go
@@ -6,7 +6,7 @@
 	"github.com/wheatweir/wheatweir/api"
 )
 
-// Health is the state of a back end as the planner sees it.
+// Health is the planner's view of a back end's state.
 type Health int
 
 // Health of a back end.
@@ -14,13 +14,14 @@
 	Up Health = iota
 	Leaving
 	Down
-	// Suspended means that the back end's whole zone was lost from view a
-	// short while ago, as when regions lose each other for minutes. Its
-	// replicas serve nobody here, but are not replaced yet either.
+	// Suspended means that the back end's whole zone became unreachable a
+	// short time ago, as in a network partition between regions that lasts
+	// for minutes. Its replicas serve no requests from here, but are not
+	// replaced yet.
 	Suspended
 )
 
-// BackEnd is one engine with its record.
+// BackEnd is one engine with its placement record.
 type BackEnd struct {
 	Name        string
 	Zone        string
@@ -31,34 +32,35 @@
 	Placement   api.Placement
 	// Version is the object version of Placement; zero if it has no record.
 	Version uint64
-	// Report is the newest report, or nil if this daemon has none.
+	// Report is the latest report of the engine, or nil if this daemon has none.
 	Report *api.Report
 }
 
-// free returns the bytes that are not reserved.
-func (b *BackEnd) free() int64 { return b.MemoryBytes - b.Placement.Reserved() }
+// freeBytes returns the memory that is not reserved.
+func (b *BackEnd) freeBytes() int64 { return b.MemoryBytes - b.Placement.Reserved() }
 
-// loadShare returns the requests at the back end as a share of its batch slots,
-// as last reported; zero if it has not reported.
-func (b *BackEnd) loadShare() float64 {
+// utilization returns the running and waiting requests as a share of the batch
+// slots, according to the latest report; zero without a report.
+func (b *BackEnd) utilization() float64 {
 	if b.Report == nil || b.Report.Slots == 0 {
 		return 0
 	}
 	return float64(b.Report.Running+b.Report.Waiting) / float64(b.Report.Slots)
 }
 
-// usable reports whether replicas on the back end may be relied on.
+// usable reports whether replicas on the back end may be relied on: it is up,
+// and its record is not being emptied.
 func (b *BackEnd) usable() bool { return b.Health == Up && !b.Placement.Emptying() }
 
-// serves reports whether the back end was observed to serve the artifact.
+// serves reports whether the back end has reported that it serves the artifact.
 func (b *BackEnd) serves(artifact api.Artifact) bool {
 	return b.Report != nil && b.Report.Serves(artifact)
 }
 
-// Demand is the load of one model over all daemons.
+// Demand is the load of one model, summed over all daemons.
 type Demand struct {
-	// Fast and Slow are averages of the requests in progress and waiting,
-	// over a few seconds and over a few minutes.
+	// Fast and Slow are averages of the number of requests in progress and
+	// waiting: Fast over a few seconds, Slow over a few minutes.
 	Fast float64
 	Slow float64
 }
@@ -70,9 +72,9 @@
 	Demand  Demand
 }
 
-// Weights say how much a deployment cares for each measure.
+// Weights are the weights of the planner's objectives in a deployment.
 type Weights struct {
-	// Attainment is the worth of serving one more waiting request in time.
+	// Attainment is the benefit of serving one more waiting request in time.
 	Attainment float64
 	// Moves is the cost of one load, unload or relocation.
 	Moves float64
@@ -87,10 +89,10 @@
 	// Headroom is the multiple of the slow demand for which replicas are kept
 	// ready while memory is free.
 	Headroom float64
-	// MinimumStay is how long a surplus replica stays at least.
+	// MinimumStay is the minimum time for which a surplus replica is kept.
 	MinimumStay time.Duration
-	// SpareFraction of all memory is kept free of replicas above the
-	// minimum, so that new models and recoveries find room.
+	// SpareFraction is the fraction of all memory that replicas above the
+	// minimum must leave free for new models and recoveries.
 	SpareFraction float64
 }
 
@@ -121,13 +123,15 @@
 const (
 	// OperationAdd reserves memory for artifacts.
 	OperationAdd OperationKind = iota
-	// OperationMarkMoving tells others not to rely on a replica.
+	// OperationMarkMoving marks a replica as moving, so that no release
+	// relies on it.
 	OperationMarkMoving
-	// OperationKeep withdraws OperationMarkMoving.
+	// OperationKeep reverts OperationMarkMoving.
 	OperationKeep
 	// OperationRelease starts the release of a replica.
 	OperationRelease
-	// OperationPromote makes a surplus replica an anchor.
+	// OperationPromote makes a surplus replica an anchor, that is, one that
+	// counts towards the model's minimum and that releases may rely on.
 	OperationPromote
 )
 
@@ -142,15 +146,16 @@
 	BackEnd string
 	// IfVersion is the record version that the operation was planned on.
 	IfVersion uint64
-	// Artifact is the weights that the operation is about, or one adapter.
+	// Artifact is the weights, or the adapter, that the operation concerns.
 	Artifact api.Artifact
-	// Entries are what OperationAdd reserves.
+	// Entries are the reservations that OperationAdd makes.
 	Entries []api.PlacementEntry
-	// ReliesOn names the back end whose record must be read afresh and still
-	// allow the release; empty when no other replica is relied on.
+	// ReliesOn names the back end whose record must be read again before the
+	// release and must still permit it. It is empty if the release relies on
+	// no other replica.
 	ReliesOn string
-	// ReliesOnArtifact is the replica there.
+	// ReliesOnArtifact is the artifact of the replica on that back end.
 	ReliesOnArtifact api.Artifact
-	// Reason is logged and kept in the record.
+	// Reason is logged and stored in the record.
 	Reason string
 }
