--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -116,7 +116,7 @@
 		}, model("m", "v2", 2), "release m@v1@a;"},
 		{"a moving replica is kept if it is needed", []placement.BackEnd{backEnd("a", "1", moving(held(v1, 20*gib)))}, model("m", "v1", 1), "keep m@v1@a;"},
 		{"replicas in one zone are spread", []placement.BackEnd{backEnd("a", "1", held(v1, 20*gib)), backEnd("b", "1", held(v1, 20*gib)), backEnd("c", "2")}, model("m", "v1", 2), "add m@v1@c;"},
-		{"the surplus anchor is released in the zone with most replicas", []placement.BackEnd{backEnd("a", "1", held(v1, 20*gib)), backEnd("b", "1", held(v1, 20*gib)), backEnd("c", "2", held(v1, 20*gib))}, model("m", "v1", 2), "mark_moving m@v1@b;"},
+		{"the surplus anchor is marked as moving in the zone with most replicas", []placement.BackEnd{backEnd("a", "1", held(v1, 20*gib)), backEnd("b", "1", held(v1, 20*gib)), backEnd("c", "2", held(v1, 20*gib))}, model("m", "v1", 2), "mark_moving m@v1@b;"},
 		{"a deleted adapter is released", []placement.BackEnd{backEnd("a", "1", held(v1, 20*gib), held(api.Artifact{Model: "m", Version: "v1", Adapter: "old"}, gib))}, model("m", "v1", 1), "release m@v1+old@a;"},
 		{"a deleted model is released", []placement.BackEnd{backEnd("a", "1", held(v1, 20*gib))}, deleted, "release m@v1@a;"},
 	}
--- a/placement/types.go
+++ b/placement/types.go
@@ -9,7 +9,7 @@
 // Health is the planner's view of a back end's state.
 type Health int
 
-// Health of a back end.
+// States of a back end.
 const (
 	Up Health = iota
 	Leaving
@@ -80,7 +80,7 @@
 	Moves float64
 }
 
-// Settings of the planner.
+// Settings are the settings of the planner.
 type Settings struct {
 	Weights Weights
 	// TargetUtilization is the share of an engine's batch slots that one
