--- a/gateway/identify_test.go
+++ b/gateway/identify_test.go
@@ -20,17 +20,17 @@
 // keyedConfiguration has two tenants: acme, with a priority of its own and a limit, and plain, with neither. Its routes
 // require keys, except for the public route open.
 func keyedConfiguration(version uint64, keys ...string) *fleet.Configuration {
-	made := configuration()
-	made.Version, made.RequiresKeys = version, true
+	config := configuration()
+	config.Version, config.RequiresKeys = version, true
 	acme := tenant.Tenant{Name: "acme", Ranked: true, Priority: 3, Limit: tenant.Limit{PerSecond: 100, Tokens: true, PlainTokens: 7}}
 	for _, key := range keys {
 		acme.Keys = append(acme.Keys, tenant.DigestOf(key))
 	}
-	made.Tenants = []tenant.Tenant{acme, {Name: "plain", Keys: []tenant.Digest{tenant.DigestOf("a key of plain")}}}
-	open := made.Routes[0]
+	config.Tenants = []tenant.Tenant{acme, {Name: "plain", Keys: []tenant.Digest{tenant.DigestOf("a key of plain")}}}
+	open := config.Routes[0]
 	open.Name, open.PathPrefix, open.Public = "open", "/open/", true
-	made.Routes = append(made.Routes, open)
-	return made
+	config.Routes = append(config.Routes, open)
+	return config
 }
 
 func keyedView(version uint64, keys ...string) *fleet.View {
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -103,7 +103,7 @@
 	cases := []struct {
 		name       string
 		turns      map[string]time.Duration
-		spent      []string
+		atLimit    []string
 		status     int
 		instance   string
 		took       time.Duration
@@ -123,7 +123,7 @@
 				for instance, wait := range c.turns {
 					notices.turns[instance] = gateway.Turn{Wait: wait}
 				}
-				for _, instance := range c.spent {
+				for _, instance := range c.atLimit {
 					notices.bars = append(notices.bars, gateway.Bar{Instance: instance, Reason: gateway.ReasonAtLimit, Until: time.Now().Add(late)})
 				}
 				upstream, began := &script{}, time.Now()
@@ -137,7 +137,7 @@
 				if c.instance != "" && (len(upstream.sent) != 1 || upstream.sent[0].Instance.ID != c.instance) {
 					t.Errorf("sent %+v", upstream.sent)
 				}
-				if len(c.spent) == 2 && len(notices.admitCalls) > 0 {
+				if len(c.atLimit) == 2 && len(notices.admitCalls) > 0 {
 					t.Errorf("requested turns at %v", notices.admitCalls)
 				}
 			})
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -90,8 +90,8 @@
 type verdictWait uint8
 
 const (
-	// verdictOpen means that the request may be sent now and did not wait.
-	verdictOpen verdictWait = iota
+	// verdictImmediate means that the request may be sent now and did not wait.
+	verdictImmediate verdictWait = iota
 	// verdictWaited means that the wait is over, so that the choice of the instance may be outdated. The request may be
 	// sent, unless it is held by now.
 	verdictWaited
@@ -101,7 +101,7 @@
 
 // awaitVerdict waits until the request may run if its content, or one of its parts, is suspected of crashing instances.
 func (e *exchange) awaitVerdict(ctx context.Context) verdictWait {
-	outcome := verdictOpen
+	outcome := verdictImmediate
 	for e.suspected() && !e.gateway.Now().Before(e.contentTurnEnds) {
 		if e.held() {
 			return verdictWaited
