--- a/reach/dialer.go
+++ b/reach/dialer.go
@@ -12,39 +12,40 @@
 	"github.com/wheatweir/wheatweir/internal/idle"
 )
 
-// ErrNoRelay is the class of errors that say nothing about the address: no other daemon could be asked.
+// ErrNoRelay is the class of errors that give no information about the address: no other daemon could be asked to
+// connect.
 var ErrNoRelay = errs.Class("reach: no relay")
 
-// directTimeout bounds an attempt over the machine's own path, also after the caller has a connection: what comes
-// of it tells whether the path is back.
+// directTimeout bounds an attempt over the machine's own path. The attempt continues after the caller has got a
+// connection, as its result shows whether the path works again.
 const directTimeout = 400 * time.Millisecond
 
-// Dial opens a connection to an address. It ends with ctx.
+// Dial opens a connection to an address. The attempt ends when ctx does.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// Dialer connects to addresses, each time by the plan of its book. It is safe for concurrent use.
+// Dialer connects to addresses, each time by the plan of its Book. It is safe for concurrent use.
 type Dialer struct {
-	book *Book
-	now  func() time.Time
+	tracker *Book
+	now     func() time.Time
 	// direct uses the machine's own paths, relayed goes through another daemon.
 	direct  Dial
 	relayed Dial
-	// counts are totals since the start.
+	// The counts are totals since the start.
 	directCount  atomic.Int64
 	relayedCount atomic.Int64
 }
 
-// NewDialer returns a dialer that goes by a book.
-func NewDialer(book *Book, now func() time.Time, direct, relayed Dial) *Dialer {
-	return &Dialer{book: book, now: now, direct: direct, relayed: relayed}
+// NewDialer returns a Dialer that connects by the plans of tracker.
+func NewDialer(tracker *Book, now func() time.Time, direct, relayed Dial) *Dialer {
+	return &Dialer{tracker: tracker, now: now, direct: direct, relayed: relayed}
 }
 
-// Counts are how many connections were made since the start.
+// Counts returns how many connections were made since the start, by kind.
 func (d *Dialer) Counts() (direct, relayed int64) {
 	return d.directCount.Load(), d.relayedCount.Load()
 }
 
-// result is what an attempt came to.
+// result is the outcome of an attempt.
 type result struct {
 	conn    net.Conn
 	err     error
@@ -52,17 +53,17 @@
 }
 
 // Dial opens a connection over the machine's own path or through another daemon. Where both are tried, the first
-// one is used.
+// connection is used.
 func (d *Dialer) Dial(ctx context.Context, address string) (net.Conn, error) {
-	plan := d.book.Plan(d.now(), address)
+	plan := d.tracker.Plan(d.now(), address)
 	attempts := &attempts{dialer: d, ctx: ctx, address: address, results: make(chan result, 2), relayed: !plan.Relay}
-	defer attempts.abandon()
+	defer attempts.closeUnused()
 	if plan.Direct {
 		attempts.startDirect()
 	}
 	timer := time.NewTimer(plan.RelayAfter)
 	defer timer.Stop()
-	var failed error
+	var dialErr error
 	for {
 		select {
 		case <-timer.C:
@@ -72,16 +73,16 @@
 			if done.err == nil {
 				return d.count(done), nil
 			}
-			if failed == nil || !done.relayed {
-				failed = done.err
+			if dialErr == nil || !done.relayed {
+				dialErr = done.err
 			}
 			attempts.startRelayed()
 			if ErrNoRelay.Has(done.err) {
-				// The own path is all that is left, however unlikely.
+				// Only the own path is left, even if it is unlikely to work.
 				attempts.startDirect()
 			}
 			if attempts.running == 0 {
-				return nil, failed
+				return nil, dialErr
 			}
 		case <-ctx.Done():
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: ctx.Err()}
@@ -98,34 +99,34 @@
 	return done.conn
 }
 
-// Direct opens a connection over the machine's own path only, and takes in what comes of it.
+// Direct opens a connection over the machine's own path only, and records the result in the Book.
 func (d *Dialer) Direct(ctx context.Context, address string) (net.Conn, error) {
 	began := d.now()
 	conn, err := d.direct(ctx, address)
 	switch {
 	case err == nil:
-		d.book.Connected(d.now(), address)
-		return &directConn{Conn: conn, dialer: d, address: address, heardAt: d.now()}, nil
+		d.tracker.Connected(d.now(), address)
+		return &directConn{Conn: conn, dialer: d, address: address, receivedAt: d.now()}, nil
 	case ctx.Err() == context.Canceled:
-		// Whoever asked has left: that says nothing about the path.
+		// The caller canceled the attempt, which is no evidence about the path.
 	default:
-		d.book.Failed(d.now(), address, began)
+		d.tracker.Failed(d.now(), address, began)
 	}
 	return nil, err
 }
 
-// attempts are those of one call of Dial.
+// attempts is the state of one call of Dial.
 type attempts struct {
 	dialer  *Dialer
 	ctx     context.Context
 	address string
 	results chan result
 	running int
-	// direct and relayed say that these ways are in use, were tried, or must not be.
+	// direct and relayed mean that this kind of attempt is running, has ended, or must not be made.
 	direct  bool
 	relayed bool
-	// reached says that another daemon has reached the address.
-	reached atomic.Bool
+	// reachedByRelay means that another daemon has connected to the address.
+	reachedByRelay atomic.Bool
 }
 
 func (a *attempts) startDirect() {
@@ -138,8 +139,8 @@
 	go func() {
 		defer cancel()
 		conn, err := a.dialer.Direct(ctx, a.address)
-		if err != nil && a.reached.Load() {
-			a.dialer.book.ReachedByOthers(a.dialer.now(), a.address)
+		if err != nil && a.reachedByRelay.Load() {
+			a.dialer.tracker.ReachedByOthers(a.dialer.now(), a.address)
 		}
 		a.results <- result{conn: conn, err: err}
 	}()
@@ -154,19 +155,19 @@
 	go func() {
 		conn, err := a.dialer.relayed(a.ctx, a.address)
 		if err != nil && !ErrNoRelay.Has(err) && a.ctx.Err() == nil {
-			a.dialer.book.NotReachedByOthers(a.address)
+			a.dialer.tracker.NotReachedByOthers(a.address)
 		}
 		if err == nil {
-			a.reached.Store(true)
-			a.dialer.book.ReachedByOthers(a.dialer.now(), a.address)
+			a.reachedByRelay.Store(true)
+			a.dialer.tracker.ReachedByOthers(a.dialer.now(), a.address)
 			conn = &relayedConn{Conn: conn, dialer: a.dialer, address: a.address}
 		}
 		a.results <- result{conn: conn, err: err, relayed: true}
 	}()
 }
 
-// abandon closes the connections of attempts that end later.
-func (a *attempts) abandon() {
+// closeUnused closes the connections of attempts that end after Dial has returned.
+func (a *attempts) closeUnused() {
 	running := a.running
 	if running == 0 {
 		return
@@ -185,25 +186,25 @@
 	net.Conn
 	dialer  *Dialer
 	address string
-	// heardAt is when bytes last came, or the connection was made.
-	heardAt time.Time
+	// receivedAt is when bytes were last received, or the connection was made.
+	receivedAt time.Time
 }
 
-// Read notes that the path carries bytes.
+// Read records that the path carries bytes.
 func (c *directConn) Read(buffer []byte) (int, error) {
 	count, err := c.Conn.Read(buffer)
 	if count > 0 {
-		c.heardAt = c.dialer.now()
-		c.dialer.book.Heard(c.heardAt)
+		c.receivedAt = c.dialer.now()
+		c.dialer.tracker.Heard(c.receivedAt)
 	}
 	return count, err
 }
 
-// Fit reports whether the connection should be used again.
-func (c *directConn) Fit() bool { return c.dialer.book.Fit(c.address, c.heardAt) }
+// Fit reports whether the connection should be reused.
+func (c *directConn) Fit() bool { return c.dialer.tracker.Fit(c.address, c.receivedAt) }
 
-// SyscallConn gives access to the socket.
-func (c *directConn) SyscallConn() (syscall.RawConn, error) { return socketOf(c.Conn) }
+// SyscallConn returns the raw connection of the socket.
+func (c *directConn) SyscallConn() (syscall.RawConn, error) { return rawConnOf(c.Conn) }
 
 // relayedConn is a connection through another daemon.
 type relayedConn struct {
@@ -212,19 +213,19 @@
 	address string
 }
 
-// Fit reports whether the connection, which is not in use, should be used again: not once the machine's own path is
-// back, or the other daemon is about to stop, which it says at any time.
+// Fit reports whether the idle connection should be reused. It should not once the machine's own path works again,
+// or the relaying daemon has announced that it stops, which it may do at any time.
 func (c *relayedConn) Fit() bool {
-	if carried, ok := c.Conn.(interface{ Retiring() bool }); ok && carried.Retiring() {
+	if retiring, ok := c.Conn.(interface{ Retiring() bool }); ok && retiring.Retiring() {
 		return false
 	}
-	return c.dialer.book.InDoubt(c.address) && idle.IsOpen(c.Conn)
+	return c.dialer.tracker.InDoubt(c.address) && idle.IsOpen(c.Conn)
 }
 
-// SyscallConn gives access to the socket.
-func (c *relayedConn) SyscallConn() (syscall.RawConn, error) { return socketOf(c.Conn) }
+// SyscallConn returns the raw connection of the socket.
+func (c *relayedConn) SyscallConn() (syscall.RawConn, error) { return rawConnOf(c.Conn) }
 
-func socketOf(conn net.Conn) (syscall.RawConn, error) {
+func rawConnOf(conn net.Conn) (syscall.RawConn, error) {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
 		return nil, net.ErrClosed
--- a/reach/dialer_test.go
+++ b/reach/dialer_test.go
@@ -13,18 +13,18 @@
 	"github.com/wheatweir/wheatweir/reach"
 )
 
-// way is one of the two ways to connect. It counts the connections that were opened and closed.
-type way struct {
-	takes  time.Duration
-	err    error
-	asked  atomic.Int64
-	opened atomic.Int64
-	closed atomic.Int64
+// fakeDial replaces one of the two ways to connect. It counts the connections that were opened and closed.
+type fakeDial struct {
+	duration time.Duration
+	err      error
+	dialed   atomic.Int64
+	opened   atomic.Int64
+	closed   atomic.Int64
 }
 
-func (w *way) dial(ctx context.Context, _ string) (net.Conn, error) {
-	w.asked.Add(1)
-	timer := time.NewTimer(w.takes)
+func (w *fakeDial) dial(ctx context.Context, _ string) (net.Conn, error) {
+	w.dialed.Add(1)
+	timer := time.NewTimer(w.duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -37,87 +37,88 @@
 	w.opened.Add(1)
 	near, far := net.Pipe()
 	_ = far.Close()
-	return &counted{Conn: near, way: w}, nil
+	return &countedConn{Conn: near, fakeDial: w}, nil
 }
 
-type counted struct {
+type countedConn struct {
 	net.Conn
-	way *way
+	fakeDial *fakeDial
 }
 
-func (c *counted) Close() error {
-	c.way.closed.Add(1)
+func (c *countedConn) Close() error {
+	c.fakeDial.closed.Add(1)
 	return c.Conn.Close()
 }
 
-// TestDialer covers which way is used, after how long, and that no connection is left open.
+// TestDialer covers which connection is used, after how long, and that no connection is left open.
 func TestDialer(t *testing.T) {
 	never := time.Hour
 	cases := []struct {
 		name            string
-		direct, relayed way
-		failedBefore    bool
-		othersReach     bool
-		takes           time.Duration
-		relayedWins     bool
-		fails           error
-		relayIsAsked    bool
+		direct, relayed fakeDial
+		failedEarlier   bool
+		reachedByOthers bool
+		duration        time.Duration
+		wantRelayed     bool
+		wantErr         error
+		wantRelayDialed bool
 	}{
-		{name: "sound", direct: way{takes: 2 * time.Millisecond}, relayed: way{takes: never}, takes: 2 * time.Millisecond},
-		{name: "hangs", direct: way{takes: never}, relayed: way{takes: 10 * time.Millisecond}, takes: 160 * time.Millisecond, relayedWins: true, relayIsAsked: true},
-		{name: "refused here only", direct: way{err: syscall.ECONNREFUSED}, relayed: way{takes: 10 * time.Millisecond}, takes: 10 * time.Millisecond, relayedWins: true, relayIsAsked: true},
-		{name: "refused to all", direct: way{err: syscall.ECONNREFUSED}, relayed: way{takes: 10 * time.Millisecond, err: errors.New("no answer")}, takes: 10 * time.Millisecond, fails: syscall.ECONNREFUSED, relayIsAsked: true},
-		{name: "slow, and the other way too", direct: way{takes: 200 * time.Millisecond}, relayed: way{takes: 300 * time.Millisecond}, takes: 200 * time.Millisecond, relayIsAsked: true},
-		{name: "failed before, others reach it", direct: way{takes: never}, relayed: way{takes: 10 * time.Millisecond}, failedBefore: true, othersReach: true, takes: 10 * time.Millisecond, relayedWins: true, relayIsAsked: true},
-		{name: "failed before, refused to all", direct: way{err: syscall.ECONNREFUSED}, relayed: way{takes: 10 * time.Millisecond}, failedBefore: true, fails: syscall.ECONNREFUSED},
-		{name: "failed before, nobody to ask", direct: way{takes: 2 * time.Millisecond}, relayed: way{err: reach.ErrNoRelay.New("none")}, failedBefore: true, othersReach: true, takes: 2 * time.Millisecond, relayIsAsked: true},
+		{name: "direct connection", direct: fakeDial{duration: 2 * time.Millisecond}, relayed: fakeDial{duration: never}, duration: 2 * time.Millisecond},
+		{name: "direct attempt hangs", direct: fakeDial{duration: never}, relayed: fakeDial{duration: 10 * time.Millisecond}, duration: 160 * time.Millisecond, wantRelayed: true, wantRelayDialed: true},
+		{name: "refused directly, relayed", direct: fakeDial{err: syscall.ECONNREFUSED}, relayed: fakeDial{duration: 10 * time.Millisecond}, duration: 10 * time.Millisecond, wantRelayed: true, wantRelayDialed: true},
+		{name: "refused directly and through the relay", direct: fakeDial{err: syscall.ECONNREFUSED}, relayed: fakeDial{duration: 10 * time.Millisecond, err: errors.New("no answer")}, duration: 10 * time.Millisecond, wantErr: syscall.ECONNREFUSED, wantRelayDialed: true},
+		{name: "direct slow, relay slower", direct: fakeDial{duration: 200 * time.Millisecond}, relayed: fakeDial{duration: 300 * time.Millisecond}, duration: 200 * time.Millisecond, wantRelayDialed: true},
+		{name: "failed earlier, reached by other daemons", direct: fakeDial{duration: never}, relayed: fakeDial{duration: 10 * time.Millisecond}, failedEarlier: true, reachedByOthers: true, duration: 10 * time.Millisecond, wantRelayed: true, wantRelayDialed: true},
+		{name: "failed earlier, not reached by other daemons", direct: fakeDial{err: syscall.ECONNREFUSED}, relayed: fakeDial{duration: 10 * time.Millisecond}, failedEarlier: true, wantErr: syscall.ECONNREFUSED},
+		{name: "failed earlier, no relay available", direct: fakeDial{duration: 2 * time.Millisecond}, relayed: fakeDial{err: reach.ErrNoRelay.New("none")}, failedEarlier: true, reachedByOthers: true, duration: 2 * time.Millisecond, wantRelayDialed: true},
 	}
 	for i := range cases {
 		c := &cases[i]
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				book := reach.NewBook()
-				book.SetAddresses(20)
-				if c.failedBefore {
-					book.Failed(time.Now(), "a", time.Now())
+				tracker := reach.NewBook()
+				tracker.SetAddresses(20)
+				if c.failedEarlier {
+					tracker.Failed(time.Now(), "a", time.Now())
 				}
-				if c.othersReach {
-					book.ReachedByOthers(time.Now(), "a")
+				if c.reachedByOthers {
+					tracker.ReachedByOthers(time.Now(), "a")
 				}
-				dialer := reach.NewDialer(book, time.Now, c.direct.dial, c.relayed.dial)
+				dialer := reach.NewDialer(tracker, time.Now, c.direct.dial, c.relayed.dial)
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
 				began := time.Now()
 				conn, err := dialer.Dial(ctx, "a")
-				if took := time.Since(began); took != c.takes || !errors.Is(err, c.fails) {
+				if took := time.Since(began); took != c.duration || !errors.Is(err, c.wantErr) {
 					t.Errorf("took %v, error %v", took, err)
 				}
 				if err == nil {
 					_ = conn.Close()
 				}
 				time.Sleep(2 * time.Second)
-				for _, used := range []*way{&c.direct, &c.relayed} {
+				for _, used := range []*fakeDial{&c.direct, &c.relayed} {
 					if used.opened.Load() != used.closed.Load() {
 						t.Errorf("%d connections are opened, %d closed", used.opened.Load(), used.closed.Load())
 					}
 				}
-				if asked := c.relayed.asked.Load() > 0; asked != c.relayIsAsked {
-					t.Errorf("relay is asked: %t", asked)
+				if dialed := c.relayed.dialed.Load() > 0; dialed != c.wantRelayDialed {
+					t.Errorf("relay dialed: %t", dialed)
 				}
-				if _, relayed := dialer.Counts(); (relayed == 1) != c.relayedWins {
-					t.Errorf("%d connections are relayed", relayed)
+				if _, relayed := dialer.Counts(); (relayed == 1) != c.wantRelayed {
+					t.Errorf("%d connections relayed", relayed)
 				}
 			})
 		})
 	}
 }
 
-// TestCallerThatLeavesProvesNothing guards against paths that are taken for cut since callers left while they connected.
+// TestCallerThatLeavesProvesNothing guards against paths being taken for cut because callers canceled while they
+// connected.
 func TestCallerThatLeavesProvesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		book := reach.NewBook()
-		direct, relayed := way{takes: 50 * time.Millisecond}, way{takes: time.Hour}
-		dialer := reach.NewDialer(book, time.Now, direct.dial, relayed.dial)
+		tracker := reach.NewBook()
+		direct, relayed := fakeDial{duration: 50 * time.Millisecond}, fakeDial{duration: time.Hour}
+		dialer := reach.NewDialer(tracker, time.Now, direct.dial, relayed.dial)
 		for range 5 {
 			ctx, cancel := context.WithCancel(t.Context())
 			time.AfterFunc(10*time.Millisecond, cancel)
@@ -127,7 +128,7 @@
 			cancel()
 		}
 		time.Sleep(time.Second)
-		if status := book.Status(time.Now()); status.Failed > 0 {
+		if status := tracker.Status(time.Now()); status.Failed > 0 {
 			t.Errorf("status %+v", status)
 		}
 		if direct.opened.Load() != direct.closed.Load() {
@@ -136,14 +137,14 @@
 	})
 }
 
-// TestOthersAreUsedAgainAfterTheyHelped guards against an address that others reach, which is tried over the own path
-// alone as the own attempt failed only after another daemon had connected.
+// TestOthersAreUsedAgainAfterTheyHelped covers an own attempt that fails only after another daemon has connected.
+// It guards against the address being tried over the own path alone from then on.
 func TestOthersAreUsedAgainAfterTheyHelped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		book := reach.NewBook()
-		book.SetAddresses(20)
-		direct, relayed := way{takes: time.Hour}, way{takes: 10 * time.Millisecond}
-		dialer := reach.NewDialer(book, time.Now, direct.dial, relayed.dial)
+		tracker := reach.NewBook()
+		tracker.SetAddresses(20)
+		direct, relayed := fakeDial{duration: time.Hour}, fakeDial{duration: 10 * time.Millisecond}
+		dialer := reach.NewDialer(tracker, time.Now, direct.dial, relayed.dial)
 		for number, want := range []time.Duration{160 * time.Millisecond, 10 * time.Millisecond, 10 * time.Millisecond} {
 			began := time.Now()
 			conn, err := dialer.Dial(t.Context(), "a")
--- a/reach/relays.go
+++ b/reach/relays.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// relayRest is how long a daemon that could not help is not asked again, and twice as long each further time in a
-	// row, up to longestRelayRest.
-	relayRest        = 500 * time.Millisecond
-	longestRelayRest = 4 * time.Second
-	// cutZoneRelays is how many daemons of a zone that are cut off themselves make the others of it come last.
-	cutZoneRelays = 2
+	// minRelayBackoff is how long a daemon that could not connect is avoided after the first failure. Each further
+	// failure in a row doubles it, up to maxRelayBackoff.
+	minRelayBackoff = 500 * time.Millisecond
+	maxRelayBackoff = 4 * time.Second
+	// minCutRelays is the number of daemons of a zone, cut off themselves, from which the zone's other daemons are
+	// ranked last.
+	minCutRelays = 2
 )
 
-// Relay is another daemon that may carry connections.
+// Relay is another daemon that may carry connections for this one.
 type Relay struct {
 	Name    string
 	Zone    string
@@ -25,90 +26,90 @@
 
 // Relays chooses daemons that carry connections for this one. It is safe for concurrent use.
 type Relays struct {
-	zone  string
-	mutex sync.Mutex
-	all   []Relay
-	rests map[string]*rest
+	zone     string
+	mutex    sync.Mutex
+	all      []Relay
+	backoffs map[string]*relayBackoff
 }
 
-// rest is a time in which a daemon is not asked.
-type rest struct {
-	until time.Time
-	inRow int
-	// cut says that the daemon said that it is cut off itself.
+// relayBackoff is a period in which a daemon is avoided as a relay.
+type relayBackoff struct {
+	until       time.Time
+	consecutive int
+	// cut means that the daemon reported that it is cut off itself.
 	cut bool
 }
 
-// NewRelays returns relays for a daemon in a zone. Those of its zone are nearer.
+// NewRelays returns the Relays of a daemon in a zone. Daemons of the same zone are preferred.
 func NewRelays(zone string) *Relays {
-	return &Relays{zone: zone, rests: map[string]*rest{}}
+	return &Relays{zone: zone, backoffs: map[string]*relayBackoff{}}
 }
 
-// Set takes in which daemons there are.
+// Set replaces the list of daemons.
 func (r *Relays) Set(all []Relay) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.all = all
-	for name := range r.rests {
+	for name := range r.backoffs {
 		if !slices.ContainsFunc(all, func(relay Relay) bool { return relay.Name == name }) {
-			delete(r.rests, name)
+			delete(r.backoffs, name)
 		}
 	}
 }
 
-// Choose returns daemons in the order in which they should be asked, at most as many as asked for. Those that rest
-// come last: one of them may help by now, where no other is left.
-func (r *Relays) Choose(now time.Time, most int) []Relay {
+// Choose returns at most maxCount daemons in the order in which to request a connection from them. Daemons in
+// backoff come last but are not left out: one of them may work by now where no other daemon is left.
+func (r *Relays) Choose(now time.Time, maxCount int) []Relay {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	cut := map[string]int{}
 	for _, relay := range r.all {
-		if known := r.rests[relay.Name]; known != nil && known.cut && now.Before(known.until) {
+		if backoff := r.backoffs[relay.Name]; backoff != nil && backoff.cut && now.Before(backoff.until) {
 			cut[relay.Zone]++
 		}
 	}
-	// Equal ones are asked in an order drawn by chance, so that the work is spread.
+	// Daemons of equal rank are shuffled, so that the load is spread.
 	chosen := slices.Clone(r.all)
 	rand.Shuffle(len(chosen), func(i, j int) { chosen[i], chosen[j] = chosen[j], chosen[i] })
 	slices.SortStableFunc(chosen, func(a, b Relay) int { return r.distance(now, a, cut) - r.distance(now, b, cut) })
-	return chosen[:min(most, len(chosen))]
+	return chosen[:min(maxCount, len(chosen))]
 }
 
-// distance is smaller for daemons that are asked earlier.
+// distance ranks a daemon: smaller values are used first.
 func (r *Relays) distance(now time.Time, relay Relay, cut map[string]int) int {
 	distance := 0
 	if relay.Zone != r.zone {
 		distance++
 	}
-	if cut[relay.Zone] >= cutZoneRelays {
+	if cut[relay.Zone] >= minCutRelays {
 		distance += 2
 	}
-	if known := r.rests[relay.Name]; known != nil && now.Before(known.until) {
+	if backoff := r.backoffs[relay.Name]; backoff != nil && now.Before(backoff.until) {
 		distance += 4
 	}
 	return distance
 }
 
-// Helped takes in that a daemon carries a connection.
+// Helped records that a daemon carries a connection.
 func (r *Relays) Helped(name string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	delete(r.rests, name)
+	delete(r.backoffs, name)
 }
 
-// Failed takes in that a daemon could not help; cut says that it is cut off itself.
+// Failed records that a daemon could not connect; cut means that it is cut off itself.
 func (r *Relays) Failed(now time.Time, name string, cut bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known := r.rests[name]
-	if known == nil {
-		known = &rest{}
-		r.rests[name] = known
+	backoff := r.backoffs[name]
+	if backoff == nil {
+		backoff = &relayBackoff{}
+		r.backoffs[name] = backoff
 	}
-	if now.Before(known.until) {
+	if now.Before(backoff.until) {
 		return
 	}
-	known.until = now.Add(min(relayRest<<min(known.inRow, 8), longestRelayRest))
-	known.inRow++
-	known.cut = cut
+	backoff.until = now.Add(min(minRelayBackoff<<min(backoff.consecutive, 8), maxRelayBackoff))
+	backoff.consecutive++
+	backoff.cut = cut
 }
--- a/reach/tracker.go
+++ b/reach/tracker.go
@@ -1,8 +1,8 @@
-// Package reach tells apart addresses that have ended from paths of this machine that are cut, and connects to
-// addresses by the machine's own paths or through other daemons.
+// Package reach distinguishes addresses that no longer exist from network paths of this machine that are cut. It
+// connects to addresses over the machine's own paths or through other daemons.
 //
-// A Book decides. Attempts that fail at several addresses in a row, with no success in between, say more about this
-// machine than about the addresses. A Dialer makes the attempts.
+// A Book decides which paths to use. Failed attempts at several addresses in a row, with no success in between,
+// point to this machine rather than to the addresses. A Dialer makes the attempts.
 package reach
 
 import (
@@ -11,219 +11,221 @@
 )
 
 const (
-	// relayAfter is how long an attempt over a path that is not in doubt takes before another daemon is asked
-	// too. It covers several round trips between zones.
+	// relayAfter is the delay before another daemon is asked to connect as well, while the own path is not in
+	// doubt. It covers several round trips between zones.
 	relayAfter = 150 * time.Millisecond
-	// relayInDoubt is the same over a path that is in doubt with all others.
-	relayInDoubt = 50 * time.Millisecond
-	// doubtfulAddresses is how many addresses in a row that can't be reached put all paths in doubt.
-	doubtfulAddresses = 2
-	// cutAddresses is how many do so that the machine takes itself to be cut off from all.
-	cutAddresses = 4
-	// retryPause is the time between two attempts over a path that has failed.
-	retryPause = 500 * time.Millisecond
-	// silenceSlack is how long after the first failure bytes may still come that were on their way.
-	silenceSlack = 200 * time.Millisecond
-	// failureMemory is how long an address that is not tried any more counts as failed.
-	failureMemory = 10 * time.Second
+	// relayAfterDoubtful is that delay while all paths of the machine are in doubt.
+	relayAfterDoubtful = 50 * time.Millisecond
+	// minFailedDoubtful is the number of unreachable addresses in a row from which all paths are in doubt.
+	minFailedDoubtful = 2
+	// minFailedCut is the number from which the machine considers itself cut off from all addresses.
+	minFailedCut = 4
+	// retryBackoff is the time between two attempts over a path that has failed.
+	retryBackoff = 500 * time.Millisecond
+	// inFlightWindow is how long after the first failure bytes that were already in flight may still arrive.
+	inFlightWindow = 200 * time.Millisecond
+	// failureTTL is how long an address counts as failed after the last attempt at it.
+	failureTTL = 10 * time.Second
 )
 
-// Plan is how to connect to an address.
+// Plan states how to connect to an address.
 type Plan struct {
-	// Direct says that the machine's own path is tried.
+	// Direct means that the machine's own path is tried.
 	Direct bool
-	// Relay says that another daemon is asked, RelayAfter how long after the start; zero means at once.
+	// Relay means that another daemon is asked to connect, RelayAfter after the start; zero means at once.
 	Relay      bool
 	RelayAfter time.Duration
 }
 
-// Status is what a Book holds of all paths together.
+// Status is the state of all paths of the machine together.
 type Status struct {
-	// Cut says that the machine reaches no address, Doubtful that it may be so.
+	// Cut means that the machine reaches no address, Doubtful that this is possible.
 	Cut      bool
 	Doubtful bool
-	// Since is when the first attempt failed of those that failed in a row; zero if the last one succeeded.
+	// Since is the time of the first of the consecutive failed attempts; zero if the last attempt succeeded.
 	Since time.Time
-	// Failed is the number of addresses that can't be reached directly, InARow of those without a success in between.
+	// Failed is the number of addresses that can't be reached directly. InARow counts those that failed since the
+	// last success.
 	Failed int
 	InARow int
 }
 
-// failure is an address that could not be reached.
+// failure is the state of an address that could not be reached.
 type failure struct {
 	since   time.Time
 	lastAt  time.Time
 	retryAt time.Time
-	// askAt is when others may be asked again whether they reach it.
-	askAt time.Time
-	// byOthersAt is when another daemon has reached it; zero if none has. ownFault says that an attempt from here has
-	// failed even after that.
-	byOthersAt time.Time
-	ownFault   bool
+	// relayRetryAt is when other daemons may be asked again to connect to the address.
+	relayRetryAt time.Time
+	// reachedByOthersAt is when another daemon connected to the address; zero if none has. localFault means that
+	// an attempt from this machine failed even after that.
+	reachedByOthersAt time.Time
+	localFault        bool
 }
 
-// Book is what is known of the paths of this machine. It is safe for concurrent use.
+// Book tracks which addresses this machine can reach over its own paths. It is safe for concurrent use.
 type Book struct {
 	mutex  sync.Mutex
 	failed map[string]*failure
-	// inARow are the addresses that could not be reached since the last success, since is when the first attempt failed.
-	inARow map[string]bool
-	since  time.Time
-	// connectedAt is when the last attempt succeeded, heardAt when bytes last came over a path.
+	// consecutive are the addresses that failed since the last success, since is the time of the first of these
+	// failures.
+	consecutive map[string]bool
+	since       time.Time
+	// connectedAt is when the last attempt succeeded, receivedAt when bytes were last received over an own path.
 	connectedAt time.Time
-	heardAt     time.Time
+	receivedAt  time.Time
 	retryAt     time.Time
-	// addresses is how many there are to reach.
+	// addresses is the number of addresses that the daemon connects to.
 	addresses int
 }
 
-// NewBook returns a book in which all paths are sound.
+// NewBook returns a Book without failures.
 func NewBook() *Book {
-	return &Book{failed: map[string]*failure{}, inARow: map[string]bool{}}
+	return &Book{failed: map[string]*failure{}, consecutive: map[string]bool{}}
 }
 
-// SetAddresses tells how many addresses there are to reach.
+// SetAddresses sets how many addresses the daemon connects to. It caps the thresholds for doubtful and cut.
 func (b *Book) SetAddresses(count int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.addresses = count
 }
 
-// Plan says how to connect to an address now. Where others reach an address that can't be reached from here, the own
-// path is tried now and then only. Where nobody does, most likely the address has ended, and others are asked now and
-// then only.
+// Plan returns how to connect to an address now. If other daemons reach an address that can't be reached from
+// here, the own path is tried only once per backoff. If none does, the address has most likely ended, and other
+// daemons are asked only once per backoff.
 func (b *Book) Plan(now time.Time, address string) Plan {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.expire(now)
-	status, known := b.status(), b.failed[address]
+	status, entry := b.status(), b.failed[address]
 	switch {
-	case known != nil && (status.Doubtful || !known.byOthersAt.IsZero()):
-		return Plan{Direct: due(now, &known.retryAt), Relay: true}
-	case known != nil:
-		return Plan{Direct: true, Relay: due(now, &known.askAt)}
+	case entry != nil && (status.Doubtful || !entry.reachedByOthersAt.IsZero()):
+		return Plan{Direct: due(now, &entry.retryAt), Relay: true}
+	case entry != nil:
+		return Plan{Direct: true, Relay: due(now, &entry.relayRetryAt)}
 	case status.Cut:
 		return Plan{Direct: due(now, &b.retryAt), Relay: true}
 	case status.Doubtful:
-		return Plan{Direct: true, Relay: true, RelayAfter: relayInDoubt}
+		return Plan{Direct: true, Relay: true, RelayAfter: relayAfterDoubtful}
 	default:
 		return Plan{Direct: true, Relay: true, RelayAfter: relayAfter}
 	}
 }
 
-// due reports whether an attempt is due, and sets when the next one is.
+// due reports whether an attempt is due, and if so schedules the next one.
 func due(now time.Time, retryAt *time.Time) bool {
 	if now.Before(*retryAt) {
 		return false
 	}
-	*retryAt = now.Add(retryPause)
+	*retryAt = now.Add(retryBackoff)
 	return true
 }
 
-// Connected takes in that an attempt succeeded.
+// Connected records a successful attempt.
 func (b *Book) Connected(now time.Time, address string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.status().Cut {
-		// The paths may all be back, and each of them is tried at once.
-		for _, known := range b.failed {
-			known.retryAt = now
+		// All paths may work again, so each of them is retried at once.
+		for _, entry := range b.failed {
+			entry.retryAt = now
 		}
 	}
 	delete(b.failed, address)
-	clear(b.inARow)
+	clear(b.consecutive)
 	b.since, b.connectedAt = time.Time{}, now
 }
 
-// Failed takes in that an attempt failed that had begun at a moment.
+// Failed records a failed attempt that started at began.
 func (b *Book) Failed(now time.Time, address string, began time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	known := b.failed[address]
-	if known == nil {
-		known = &failure{since: now, retryAt: now.Add(retryPause), askAt: now.Add(retryPause)}
-		b.failed[address] = known
+	entry := b.failed[address]
+	if entry == nil {
+		entry = &failure{since: now, retryAt: now.Add(retryBackoff), relayRetryAt: now.Add(retryBackoff)}
+		b.failed[address] = entry
 	}
-	known.lastAt = now
-	if !known.byOthersAt.IsZero() && began.After(known.byOthersAt) {
-		known.ownFault = true
+	entry.lastAt = now
+	if !entry.reachedByOthersAt.IsZero() && began.After(entry.reachedByOthersAt) {
+		entry.localFault = true
 	}
 	if began.Before(b.connectedAt) {
 		return
 	}
-	if len(b.inARow) == 0 {
+	if len(b.consecutive) == 0 {
 		b.since = now
 	}
-	b.inARow[address] = true
+	b.consecutive[address] = true
 }
 
-// ReachedByOthers takes in that another daemon has reached an address: if it can't be reached from here after that, it
-// is not the address's fault.
+// ReachedByOthers records that another daemon has connected to an address. Attempts from here that fail after that
+// are not the fault of the address.
 func (b *Book) ReachedByOthers(now time.Time, address string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if known := b.failed[address]; known != nil && known.byOthersAt.IsZero() {
-		known.byOthersAt = now
+	if entry := b.failed[address]; entry != nil && entry.reachedByOthersAt.IsZero() {
+		entry.reachedByOthersAt = now
 	}
 }
 
-// NotReachedByOthers takes in that another daemon has not reached an address either.
+// NotReachedByOthers records that another daemon could not connect to an address either.
 func (b *Book) NotReachedByOthers(address string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if known := b.failed[address]; known != nil {
-		known.byOthersAt, known.ownFault = time.Time{}, false
+	if entry := b.failed[address]; entry != nil {
+		entry.reachedByOthersAt, entry.localFault = time.Time{}, false
 	}
 }
 
-// Failures counts those of some addresses that can't be reached, and those of them where that is not the address's
-// fault. Unproved is one of which that is not known, or empty.
-func (b *Book) Failures(now time.Time, addresses []string) (failed, ownFault int, unproved string) {
+// Failures counts those of the addresses that can't be reached, and those of them where the fault lies with this
+// machine. Unproved is an address whose fault is not established, or empty.
+func (b *Book) Failures(now time.Time, addresses []string) (failed, localFault int, unproved string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.expire(now)
 	for _, address := range addresses {
-		known := b.failed[address]
+		entry := b.failed[address]
 		switch {
-		case known == nil:
-		case known.ownFault:
+		case entry == nil:
+		case entry.localFault:
 			failed++
-			ownFault++
+			localFault++
 		default:
 			failed++
 			unproved = address
 		}
 	}
-	return failed, ownFault, unproved
+	return failed, localFault, unproved
 }
 
-// Heard takes in that bytes came over the machine's own path.
+// Heard records that bytes were received over an own path.
 func (b *Book) Heard(now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.heardAt = now
+	b.receivedAt = now
 }
 
-// Fit reports whether an open connection to an address, over which bytes last came at a moment, should be used
-// again: it may hang if the path has failed since then.
-func (b *Book) Fit(address string, heardAt time.Time) bool {
+// Fit reports whether an open connection to an address should be reused, given when bytes were last received over
+// it. The connection may hang if the path has failed since then.
+func (b *Book) Fit(address string, receivedAt time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if known := b.failed[address]; known != nil && heardAt.Before(known.since) {
+	if entry := b.failed[address]; entry != nil && receivedAt.Before(entry.since) {
 		return false
 	}
-	return !b.status().Doubtful || heardAt.After(b.since)
+	return !b.status().Doubtful || receivedAt.After(b.since)
 }
 
 // InDoubt reports whether connections to an address go through other daemons.
 func (b *Book) InDoubt(address string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	known := b.failed[address]
-	return known != nil && !known.byOthersAt.IsZero() || b.status().Doubtful
+	entry := b.failed[address]
+	return entry != nil && !entry.reachedByOthersAt.IsZero() || b.status().Doubtful
 }
 
-// Status returns what holds of all paths together.
+// Status returns the state of all paths together.
 func (b *Book) Status(now time.Time) Status {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -232,22 +234,22 @@
 }
 
 func (b *Book) status() Status {
-	status := Status{Since: b.since, Failed: len(b.failed), InARow: len(b.inARow)}
-	status.Doubtful = status.InARow >= min(doubtfulAddresses, max(1, b.addresses))
-	enough := status.InARow >= min(cutAddresses, max(1, b.addresses))
-	status.Cut = enough && b.heardAt.Before(b.since.Add(silenceSlack))
+	status := Status{Since: b.since, Failed: len(b.failed), InARow: len(b.consecutive)}
+	status.Doubtful = status.InARow >= min(minFailedDoubtful, max(1, b.addresses))
+	enough := status.InARow >= min(minFailedCut, max(1, b.addresses))
+	status.Cut = enough && b.receivedAt.Before(b.since.Add(inFlightWindow))
 	return status
 }
 
-// expire forgets addresses that are not tried any more: their instances may be gone.
+// expire removes addresses that are no longer tried: their instances may be gone.
 func (b *Book) expire(now time.Time) {
-	for address, known := range b.failed {
-		if now.Sub(known.lastAt) > failureMemory {
+	for address, entry := range b.failed {
+		if now.Sub(entry.lastAt) > failureTTL {
 			delete(b.failed, address)
-			delete(b.inARow, address)
+			delete(b.consecutive, address)
 		}
 	}
-	if len(b.inARow) == 0 {
+	if len(b.consecutive) == 0 {
 		b.since = time.Time{}
 	}
 }
