--- a/notice/update.go
+++ b/notice/update.go
@@ -6,86 +6,86 @@
 	"time"
 )
 
-// Update is what one daemon tells another of what instances have said. Rests are not told: each is for
-// the daemon that was asked for it.
+// Update is what one daemon sends another of the notices of instances. Backoffs are not sent: each concerns only
+// the daemon from which it was requested.
 type Update struct {
 	Items []Item `msgpack:"i"`
 }
 
-// Empty reports whether there is nothing to tell.
+// Empty reports whether there is nothing to send.
 func (u *Update) Empty() bool { return len(u.Items) == 0 }
 
-// Item is what is told of one instance.
+// Item is the state of one instance in an Update.
 type Item struct {
 	Instance string `msgpack:"i"`
 	Leaving  bool   `msgpack:"l,omitempty"`
-	// Change orders what daemons know of the limit; zero if nothing is told of it.
+	// Change orders the states of the limit; zero if the item contains none.
 	Change    uint64  `msgpack:"c,omitempty"`
 	Limited   bool    `msgpack:"n,omitempty"`
 	PerSecond float64 `msgpack:"p,omitempty"`
 }
 
-// toldSpan is for how long others are told of an instance that is no longer listed.
-const toldSpan = 5 * time.Second
+// broadcastWindow is how long the state of an instance that is no longer listed is still sent to other daemons.
+const broadcastWindow = 5 * time.Second
 
-// mostTold bounds the instances of one update, to some 20 kB.
-const mostTold = 512
+// maxUpdateItems bounds the instances of one update, to some 20 kB.
+const maxUpdateItems = 512
 
-// Evidence returns what is known of one instance, for others.
+// Evidence returns the state of one instance for other daemons.
 func (b *Book) Evidence(instance string) Item {
-	known := b.records[instance]
-	if known == nil {
+	entry := b.records[instance]
+	if entry == nil {
 		return Item{Instance: instance}
 	}
 	return Item{
-		Instance: instance, Leaving: known.leaving, Change: known.limit.change, Limited: known.limit.named, PerSecond: known.limit.perSecond,
+		Instance: instance, Leaving: entry.leaving, Change: entry.limit.change, Limited: entry.limit.named, PerSecond: entry.limit.perSecond,
 	}
 }
 
-// Newest returns what others may lack: of instances that were listed or said something a moment ago, the
-// newest first.
+// Newest returns the state that other daemons may lack, newest first. It covers instances that were listed or sent
+// a notice within broadcastWindow.
 func (b *Book) Newest(now time.Time) Update {
 	var update Update
-	for instance, known := range b.records {
-		if (known.leaving || known.limit.change != 0) && now.Sub(known.keptSince) < toldSpan {
+	for instance, entry := range b.records {
+		if (entry.leaving || entry.limit.change != 0) && now.Sub(entry.lastSeenAt) < broadcastWindow {
 			update.Items = append(update.Items, b.Evidence(instance))
 		}
 	}
 	slices.SortFunc(update.Items, func(a, b Item) int { return -cmp.Compare(a.Change, b.Change) })
-	update.Items = update.Items[:min(len(update.Items), mostTold)]
+	update.Items = update.Items[:min(len(update.Items), maxUpdateItems)]
 	return update
 }
 
-// Learn takes in what another daemon told, and returns what is new here.
+// Learn merges an update of another daemon, and returns what has changed.
 func (b *Book) Learn(now time.Time, update Update) []Change {
 	var changes []Change
 	for i := range update.Items {
-		if change := b.learn(now, &update.Items[i]); !change.Empty() {
+		if change := b.merge(now, &update.Items[i]); !change.Empty() {
 			changes = append(changes, change)
 		}
 	}
 	return changes
 }
 
-func (b *Book) learn(now time.Time, told *Item) Change {
-	change := Change{Instance: told.Instance}
-	if !told.Leaving && told.Change == 0 {
+func (b *Book) merge(now time.Time, item *Item) Change {
+	change := Change{Instance: item.Instance}
+	if !item.Leaving && item.Change == 0 {
 		return change
 	}
-	known := b.records[told.Instance]
-	if known == nil {
-		known = &record{keptSince: now}
-		b.records[told.Instance] = known
+	entry := b.records[item.Instance]
+	if entry == nil {
+		entry = &record{lastSeenAt: now}
+		b.records[item.Instance] = entry
 	}
-	if told.Leaving && !known.leaving {
-		known.leaving, change.Leaving = true, true
+	if item.Leaving && !entry.leaving {
+		entry.leaving, change.Leaving = true, true
 	}
-	limited := limit{named: told.Limited, perSecond: told.PerSecond, change: told.Change, learnedAt: now}
-	if limited.later(&known.limit) {
-		before := known.limit
-		known.limit = limited
+	limited := limit{named: item.Limited, perSecond: item.PerSecond, change: item.Change, receivedAt: now}
+	if limited.newerThan(&entry.limit) {
+		before := entry.limit
+		entry.limit = limited
 		if limited.named != before.named || limited.perSecond != before.perSecond {
-			limited.report(&change)
+			limited.fill(&change)
 		}
 	}
 	return change
