--- a/feed/era_test.go
+++ b/feed/era_test.go
@@ -21,44 +21,44 @@
 	return feed.Batch[string]{At: history.At(era, at), Items: items}
 }
 
-// values are the items of a mirror as name=value, in order.
+// values returns the items of a mirror as name=value, sorted.
 func values(mirror *feed.Mirror[string]) []string {
-	var held []string
+	var current []string
 	for _, item := range mirror.Items() {
-		held = append(held, item.Name+"="+item.Value)
+		current = append(current, item.Name+"="+item.Value)
 	}
-	slices.Sort(held)
-	return held
+	slices.Sort(current)
+	return current
 }
 
-// TestMirrorAcrossEras covers a store that comes back from an earlier copy.
+// TestMirrorAcrossEras covers a store that is restored from a backup.
 func TestMirrorAcrossEras(t *testing.T) {
 	mirror := feed.NewMirror[string]()
 	mirror.Replace(batchOf(1, 95, itemOf(1, 90, "a", "ready"), itemOf(1, 93, "b", "ready")))
 	if changed := mirror.Apply(batchOf(2, 81, itemOf(2, 81, "a", "leaving"))); len(changed) != 0 {
-		t.Fatalf("changes of an era without a list are taken in: %v", changed)
+		t.Fatalf("changes of an era without a list are applied: %v", changed)
 	}
 	mirror.Replace(batchOf(2, 80, itemOf(2, 70, "a", "old")))
 	if got := values(mirror); !slices.Equal(got, []string{"a=old", "b=ready"}) || mirror.At() != history.At(2, 80) {
 		t.Fatalf("after the first list of an era: %v at %v", got, mirror.At())
 	}
 	if _, kept := mirror.Since(history.At(1, 93)); kept {
-		t.Error("changes since a place of the era before")
+		t.Error("changes since a place of the previous era are returned")
 	}
 	mirror.Apply(batchOf(2, 81, itemOf(2, 81, "a", "leaving")))
 	mirror.Replace(batchOf(1, 99, itemOf(1, 99, "a", "ready")))
 	mirror.Apply(batchOf(1, 99, itemOf(1, 99, "a", "ready")))
 	if got := values(mirror); !slices.Equal(got, []string{"a=leaving", "b=ready"}) {
-		t.Fatalf("what the era before told is taken in: %v", got)
+		t.Fatalf("list or changes of the previous era are applied: %v", got)
 	}
 	if !mirror.HasEarlier() {
-		t.Error("the item that only the era before told of is not known as such")
+		t.Error("the item that is known only from the previous era is not reported by HasEarlier")
 	}
 	if gone := mirror.DropEarlier(); len(gone) != 1 || gone[0].Name != "b" || !gone[0].Gone || mirror.HasEarlier() {
 		t.Errorf("dropped %v", gone)
 	}
 	if _, kept := mirror.Since(history.At(2, 79)); kept {
-		t.Error("changes since a place before the first list of the era")
+		t.Error("changes since a place before the first list of the era are returned")
 	}
 	changes, kept := mirror.Since(history.At(2, 80))
 	if !kept || len(changes.Items) != 2 {
@@ -66,7 +66,8 @@
 	}
 }
 
-// TestItemThatIsWrittenAgainStays covers an item that the copy lacks.
+// TestItemThatIsWrittenAgainStays covers an item that the backup lacks and that is written again after the
+// restore.
 func TestItemThatIsWrittenAgainStays(t *testing.T) {
 	mirror := feed.NewMirror[string]()
 	mirror.Replace(batchOf(1, 95, itemOf(1, 93, "b", "ready")))
@@ -77,12 +78,12 @@
 	}
 }
 
-// TestListAcrossARestoreBeginsAnew has the store come back from a copy between two pages.
+// TestListAcrossARestoreBeginsAnew covers a store that is restored from a backup between two pages.
 func TestListAcrossARestoreBeginsAnew(t *testing.T) {
 	source := &erasSource{eras: []uint64{1, 2, 2, 2}}
 	var listing feed.Listing[string]
 	if _, err := listing.List(context.Background(), source, feed.Newest); !feed.ErrHistoryGone.Has(err) {
-		t.Fatalf("a list of two eras: %v", err)
+		t.Fatalf("a list with pages of two eras: %v", err)
 	}
 	listed, err := listing.List(context.Background(), source, feed.Newest)
 	if err != nil || len(listed.Items) != 2 || listed.At.Era != 2 {
@@ -90,7 +91,7 @@
 	}
 }
 
-// erasSource has two pages of one item each, and answers each call in the next of its eras.
+// erasSource has two pages of one item each, and returns each page in the next of its eras.
 type erasSource struct {
 	feed.Source[string]
 	eras []uint64
@@ -106,21 +107,21 @@
 	return page, nil
 }
 
-// keptStore is the oracle: a store with conditional history that may come back from any earlier state.
-type keptStore struct {
+// restorableStore is the oracle: a store with a history that may be restored to any earlier state of its era.
+type restorableStore struct {
 	at    history.Place
 	items map[string]feed.Item[string]
 	// states are the earlier states of this era, by revision.
-	states []keptState
+	states []savedState
 }
 
-type keptState struct {
+type savedState struct {
 	revision uint64
 	items    map[string]feed.Item[string]
 }
 
-func (s *keptStore) write(name, value string) feed.Item[string] {
-	s.states = append(s.states, keptState{s.at.Revision, copyOf(s.items)})
+func (s *restorableStore) write(name, value string) feed.Item[string] {
+	s.states = append(s.states, savedState{s.at.Revision, copyOf(s.items)})
 	s.at.Revision++
 	item := feed.Item[string]{Name: name, Place: s.at, Value: value, Gone: value == ""}
 	if item.Gone {
@@ -131,7 +132,7 @@
 	return item
 }
 
-func (s *keptStore) restore(t *rapid.T) {
+func (s *restorableStore) restore(t *rapid.T) {
 	if len(s.states) == 0 {
 		return
 	}
@@ -141,7 +142,7 @@
 	s.at = history.At(s.at.Era+1, state.revision)
 	s.items = map[string]feed.Item[string]{}
 	for name, item := range state.items {
-		// The store shows what the copy holds as its own.
+		// The store returns the items of the backup with its new era.
 		item.Place.Era = s.at.Era
 		s.items[name] = item
 	}
@@ -155,7 +156,7 @@
 	return copied
 }
 
-func (s *keptStore) list() feed.Batch[string] {
+func (s *restorableStore) list() feed.Batch[string] {
 	batch := feed.Batch[string]{At: s.at}
 	for _, item := range s.items {
 		item.Place.Era = s.at.Era
@@ -164,12 +165,12 @@
 	return batch
 }
 
-// TestMirrorsAgreeAfterRestores has mirrors list and hear of changes late and in another order, and tell
-// each other, while the store comes back from copies. In the end, after one list, each holds what the
-// store does; and what a mirror holds of an era never goes back in it.
+// TestMirrorsAgreeAfterRestores has mirrors apply lists and changes late and reordered, while the store is
+// restored from backups. In the end, after one list, each mirror equals the store. The place of a mirror never
+// goes back.
 func TestMirrorsAgreeAfterRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store := &keptStore{at: history.At(1, 0), items: map[string]feed.Item[string]{}}
+		store := &restorableStore{at: history.At(1, 0), items: map[string]feed.Item[string]{}}
 		mirrors := []*feed.Mirror[string]{feed.NewMirror[string](), feed.NewMirror[string]()}
 		var changes, lists []feed.Batch[string]
 		for range rapid.IntRange(20, 120).Draw(t, "steps") {
--- a/feed/exchange_test.go
+++ b/feed/exchange_test.go
@@ -11,18 +11,18 @@
 	"github.com/wheatweir/wheatweir/history"
 )
 
-// writtenStore is the oracle: all changes ever made, by revision.
-type writtenStore struct{ changes []feed.Item[string] }
+// referenceStore is the oracle: all changes ever made, by revision.
+type referenceStore struct{ changes []feed.Item[string] }
 
-func (s *writtenStore) write(name, value string) {
+func (s *referenceStore) write(name, value string) {
 	revision := uint64(len(s.changes) + 1)
 	s.changes = append(s.changes, feed.Item[string]{Name: name, Place: history.At(0, revision), Value: value, Gone: value == ""})
 }
 
-func (s *writtenStore) at() history.Place { return history.At(0, uint64(len(s.changes))) }
+func (s *referenceStore) at() history.Place { return history.At(0, uint64(len(s.changes))) }
 
-// itemsAt are the items up to a place.
-func (s *writtenStore) itemsAt(place history.Place) map[string]feed.Item[string] {
+// itemsAt returns the items up to a place.
+func (s *referenceStore) itemsAt(place history.Place) map[string]feed.Item[string] {
 	items := map[string]feed.Item[string]{}
 	for _, change := range s.changes[:place.Revision] {
 		items[change.Name] = change
@@ -33,13 +33,13 @@
 	return items
 }
 
-// pagesOf are names on different pages of a list.
-var pagesOf = [][]string{{"a", "b"}, {"c", "d"}, {"e"}}
+// pageNames are the names of the items on each page of a list.
+var pageNames = [][]string{{"a", "b"}, {"c", "d"}, {"e"}}
 
-// list reads all pages, with changes between them.
-func (s *writtenStore) list(between func()) feed.Batch[string] {
+// list reads all pages, and calls between after each of them.
+func (s *referenceStore) list(between func()) feed.Batch[string] {
 	batch := feed.Batch[string]{At: s.at()}
-	for _, page := range pagesOf {
+	for _, page := range pageNames {
 		items := s.itemsAt(s.at())
 		for _, name := range page {
 			if item, found := items[name]; found {
@@ -52,41 +52,41 @@
 	return batch
 }
 
-// exchanging is a mirror that is told of changes by the store, and by others in messages that may be late or lost.
-type exchanging struct {
+// exchangingMirror receives changes from the store, and from other mirrors in messages that may be late or lost.
+type exchangingMirror struct {
 	*feed.Mirror[string]
 	// watchedAt is the place from which it watches the store.
 	watchedAt history.Place
 }
 
-// answer is what one mirror tells another: changes, or everything.
-type answer struct {
+// update is a message from one mirror to another: changes, or the full list.
+type update struct {
 	changes feed.Changes[string]
 	kept    bool
 }
 
-func (e *exchanging) answerSince(place history.Place) answer {
+func (e *exchangingMirror) updateSince(place history.Place) update {
 	changes, kept := e.Since(place)
 	if !kept {
 		changes.Batch = feed.Batch[string]{At: e.At(), Until: e.Until(), Items: e.Items()}
 	}
-	return answer{changes, kept}
+	return update{changes, kept}
 }
 
-func (e *exchanging) takeIn(told answer) {
-	if told.kept {
-		e.Merge(told.changes)
+func (e *exchangingMirror) receive(received update) {
+	if received.kept {
+		e.Merge(received.changes)
 	} else {
-		e.Replace(told.changes.Batch)
+		e.Replace(received.changes.Batch)
 	}
 }
 
-// check reports an item that is not as the store had it at the place up to which the mirror says that it is complete.
-// One that was changed again since may be known as it is now.
-func (e *exchanging) check(store *writtenStore) (name string, wrong bool) {
-	held := map[string]history.Place{}
+// check returns an item that differs from the store's state at the place up to which the mirror is complete. An
+// item that has changed since may have its later state.
+func (e *exchangingMirror) check(store *referenceStore) (name string, wrong bool) {
+	places := map[string]history.Place{}
 	for _, item := range e.Items() {
-		held[item.Name] = item.Place
+		places[item.Name] = item.Place
 	}
 	newest := map[string]history.Place{}
 	for _, change := range store.changes {
@@ -95,7 +95,7 @@
 	complete := store.itemsAt(e.At())
 	for name := range newest {
 		item, exists := complete[name]
-		place, found := held[name]
+		place, found := places[name]
 		if changedSince := newest[name].After(e.At()); !changedSince && (found != exists || place != item.Place) {
 			return name, true
 		}
@@ -103,21 +103,22 @@
 	return "", false
 }
 
-// TestMirrorsThatTellEachOtherKnowAllUpToTheirPlace guards against changes and removals that a mirror never hears of, or
-// takes back, as another one tells it: with lists of several pages during changes, lost history and late messages.
+// TestMirrorsThatTellEachOtherKnowAllUpToTheirPlace guards against changes and removals that a mirror misses, or
+// reverts, after an update of another mirror. It covers lists of several pages during changes, lost history and
+// late messages.
 func TestMirrorsThatTellEachOtherKnowAllUpToTheirPlace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store := &writtenStore{}
+		store := &referenceStore{}
 		write := func() {
-			name := rapid.SampledFrom(slices.Concat(pagesOf...)).Draw(t, "name")
+			name := rapid.SampledFrom(slices.Concat(pageNames...)).Draw(t, "name")
 			store.write(name, rapid.SampledFrom([]string{"", "ready", "leaving"}).Draw(t, "value"))
 		}
-		mirrors := make([]*exchanging, 3)
+		mirrors := make([]*exchangingMirror, 3)
 		for i := range mirrors {
-			mirrors[i] = &exchanging{Mirror: feed.NewMirror[string]()}
+			mirrors[i] = &exchangingMirror{Mirror: feed.NewMirror[string]()}
 		}
-		under := map[int]answer{}
-		to := map[int]*exchanging{}
+		inFlight := map[int]update{}
+		receivers := map[int]*exchangingMirror{}
 		for step := range rapid.IntRange(10, 120).Draw(t, "steps") {
 			mirror := rapid.SampledFrom(mirrors).Draw(t, "mirror")
 			other := rapid.SampledFrom(mirrors).Draw(t, "other")
@@ -135,24 +136,24 @@
 			case 4:
 				if mirror.Known() && !mirror.watchedAt.IsZero() {
 					from := mirror.watchedAt.Revision
-					through := rapid.Uint64Range(from, store.at().Revision).Draw(t, "answered up to")
-					mirror.watchedAt = history.At(0, through)
-					mirror.Apply(feed.Batch[string]{At: mirror.watchedAt, Items: slices.Clone(store.changes[from:through])})
+					last := rapid.Uint64Range(from, store.at().Revision).Draw(t, "answered up to")
+					mirror.watchedAt = history.At(0, last)
+					mirror.Apply(feed.Batch[string]{At: mirror.watchedAt, Items: slices.Clone(store.changes[from:last])})
 				}
 			case 5, 6:
 				if other.Known() && other.Newest().After(mirror.At()) {
-					under[step], to[step] = other.answerSince(mirror.At()), mirror
+					inFlight[step], receivers[step] = other.updateSince(mirror.At()), mirror
 				}
 			case 7:
-				if len(under) > 0 {
-					number := rapid.SampledFrom(slices.Sorted(maps.Keys(under))).Draw(t, "message")
-					to[number].takeIn(under[number])
-					delete(under, number)
+				if len(inFlight) > 0 {
+					number := rapid.SampledFrom(slices.Sorted(maps.Keys(inFlight))).Draw(t, "message")
+					receivers[number].receive(inFlight[number])
+					delete(inFlight, number)
 				}
 			}
 			for number, mirror := range mirrors {
 				if name, wrong := mirror.check(store); wrong {
-					t.Fatalf("mirror %d is complete up to %v, but not as to %s: %v", number, mirror.At(), name, mirror.Items())
+					t.Fatalf("mirror %d is complete up to %v, but item %s is wrong: %v", number, mirror.At(), name, mirror.Items())
 				}
 			}
 		}
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -36,7 +36,7 @@
 		{"a removal", []step{{list, batch(5, item("a", 3, "x"))}, {change, batch(6, gone("a", 6))}}, map[string]string{}, 6},
 		{"an older change", []step{{list, batch(5, item("a", 5, "x"))}, {change, batch(4, item("a", 4, "old"))}}, map[string]string{"a": "x"}, 5},
 		{"an older removal", []step{{list, batch(5, item("a", 5, "x"))}, {change, batch(5, gone("a", 4))}}, map[string]string{"a": "x"}, 5},
-		{"an item that is gone since", []step{{list, batch(9, item("b", 8, "y"))}, {change, batch(4, item("a", 3, "x"))}}, map[string]string{"b": "y"}, 9},
+		{"an item that was removed since", []step{{list, batch(9, item("b", 8, "y"))}, {change, batch(4, item("a", 3, "x"))}}, map[string]string{"b": "y"}, 9},
 		{"an older list", []step{{list, batch(9, item("a", 8, "x"))}, {list, batch(5, item("a", 3, "old"), item("b", 4, "y"))}}, map[string]string{"a": "x"}, 9},
 		{"a list that lacks an item", []step{{list, batch(5, item("a", 3, "x"), item("b", 4, "y"))}, {list, batch(7, item("b", 4, "y"))}}, map[string]string{"b": "y"}, 7},
 		{"a list that lacks a newer item", []step{{list, batch(5)}, {change, batch(8, item("a", 8, "x"))}, {list, batch(8)}}, map[string]string{}, 8},
@@ -74,19 +74,19 @@
 		t.Fatalf("changed %v", changed)
 	}
 	if changed := mirror.Apply(batch(7, gone("c", 7))); len(changed) != 0 {
-		t.Fatalf("the removal of an unknown item is reported: %v", changed)
+		t.Fatalf("the removal of an unknown item is returned: %v", changed)
 	}
 }
 
 func TestSince(t *testing.T) {
 	mirror := feed.NewMirror[string]()
 	if _, ok := mirror.Since(history.Place{}); ok {
-		t.Error("changes of a mirror that knows nothing")
+		t.Error("changes of an empty mirror are returned")
 	}
 	mirror.Replace(batch(5, item("a", 3, "x"), item("b", 4, "y")))
 	mirror.Apply(batch(7, item("a", 6, "z"), gone("b", 4)))
 	if _, ok := mirror.Since(history.At(0, 4)); ok {
-		t.Error("changes before the first list")
+		t.Error("changes before the first list are returned")
 	}
 	for version, want := range map[uint64][]string{5: {"a", "b"}, 6: {"b"}, 7: nil} {
 		changes, ok := mirror.Since(history.At(0, version))
@@ -112,7 +112,7 @@
 		mirror.Apply(batch(revision, item("a", revision, "v")))
 	}
 	if _, ok := mirror.Since(history.At(0, 8)); ok {
-		t.Error("changes that are no longer kept")
+		t.Error("changes that are no longer kept are returned")
 	}
 	if changes, ok := mirror.Since(history.At(0, 9990)); !ok || len(changes.Items) != 9 {
 		t.Errorf("%d changes, %v", len(changes.Items), ok)
--- a/feed/listing.go
+++ b/feed/listing.go
@@ -10,30 +10,30 @@
 // Page is a part of a list.
 type Page[T any] struct {
 	Batch[T]
-	// Next is where the next page begins; it is empty after the last one.
+	// Next is where the next page begins; it is empty after the last page.
 	Next string
 }
 
-// Listing puts a list together from its pages. After a page that failed it goes on at that
-// page: when many daemons list a large collection at once, a store that limits its rate turns
-// some page of each of them away, and none would come to the end of a list that it begins anew.
+// Listing assembles a list from its pages. After a failed page it resumes at that page. When many daemons list a
+// large collection at once, a store that limits its rate rejects some page of each of them. No daemon would
+// complete a list that it restarts from the first page.
 type Listing[T any] struct {
-	batch Batch[T]
-	next  string
-	begun time.Time
+	batch     Batch[T]
+	next      string
+	startedAt time.Time
 	// freshness is that of the list in progress.
 	freshness Freshness
 }
 
-// listingSpan is how old the first page may be when a list goes on. Changes since then come by
-// the watch that follows, so it is well below the 20 s for which stores keep their history.
-const listingSpan = 10 * time.Second
+// listingTTL is the maximum age of the first page when a list is resumed. Changes since then arrive through the
+// watch that follows, so it is well below the 20 s for which stores keep their history.
+const listingTTL = 10 * time.Second
 
-// List returns the whole list, or the error of the page that failed. A list that was begun with
-// another freshness begins anew.
+// List returns the complete list, or the error of the page that failed. A list that was started with another
+// freshness is restarted.
 func (l *Listing[T]) List(ctx context.Context, source Source[T], freshness Freshness) (Batch[T], error) {
-	if time.Since(l.begun) > listingSpan || l.freshness != freshness {
-		*l = Listing[T]{begun: time.Now(), freshness: freshness}
+	if time.Since(l.startedAt) > listingTTL || l.freshness != freshness {
+		*l = Listing[T]{startedAt: time.Now(), freshness: freshness}
 	}
 	for {
 		page, err := source.ListPage(ctx, l.next, freshness)
@@ -41,21 +41,21 @@
 			return Batch[T]{}, err
 		}
 		if l.batch.At.IsZero() {
-			// Later pages may be newer; what they miss comes with the watch.
+			// Later pages may be newer; the changes that they miss arrive through the watch.
 			l.batch.At = page.At
 		}
 		if page.At.Era != l.batch.At.Era {
-			// The pages before are of a store that is no more.
+			// The earlier pages were read before the store was restored, and are obsolete.
 			*l = Listing[T]{}
-			return Batch[T]{}, ErrHistoryGone.New("the store came back from a copy between two pages")
+			return Batch[T]{}, ErrHistoryGone.New("store restored from a backup between two pages of the list")
 		}
 		l.batch.Items = append(l.batch.Items, page.Items...)
 		l.batch.Until = history.Newer(l.batch.Until, page.At)
 		l.next = page.Next
 		if l.next == "" {
-			whole := l.batch
+			complete := l.batch
 			*l = Listing[T]{}
-			return whole, nil
+			return complete, nil
 		}
 	}
 }
--- a/notice/tracker.go
+++ b/notice/tracker.go
@@ -25,7 +25,7 @@
 	records map[string]*record
 }
 
-// record is the state of one run of an instance; a restarted server is another instance.
+// record is the state of one run of a server.
 type record struct {
 	leaving      bool
 	limit        limit
