--- a/feed/feed.go
+++ b/feed/feed.go
@@ -59,7 +59,7 @@
 	// ListPage returns a page of all items: the first one, or the page that follows a name.
 	ListPage(ctx context.Context, after string, freshness Freshness) (Page[T], error)
 	// Watch returns the changes after a place, and waits for the first of them. The response must begin within
-	// timeout after the wait. A response of another era than that of since does not tell what was lost in between:
+	// timeout after the wait. A response of another era than that of since lacks what was lost in between:
 	// all items must be listed again.
 	Watch(ctx context.Context, since history.Place, wait, timeout time.Duration) (Batch[T], error)
 }
--- a/reach/dialer.go
+++ b/reach/dialer.go
@@ -12,8 +12,8 @@
 	"github.com/wheatweir/wheatweir/internal/idle"
 )
 
-// ErrNoRelay is the class of errors that give no information about the address: no other daemon could be asked to
-// connect.
+// ErrNoRelay is the class of errors that give no information about the address: no other daemon was available to
+// connect to it.
 var ErrNoRelay = errs.Class("reach: no relay")
 
 // directTimeout bounds an attempt over the machine's own path. The attempt continues after the caller has got a
--- a/reach/tracker.go
+++ b/reach/tracker.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// relayAfter is the delay before another daemon is asked to connect as well, while the own path is not in
-	// doubt. It covers several round trips between zones.
+	// relayAfter is the delay before a connection through another daemon is requested as well, while the own path
+	// is not in doubt. It covers several round trips between zones.
 	relayAfter = 150 * time.Millisecond
 	// relayAfterDoubtful is that delay while all paths of the machine are in doubt.
 	relayAfterDoubtful = 50 * time.Millisecond
@@ -32,7 +32,8 @@
 type Plan struct {
 	// Direct means that the machine's own path is tried.
 	Direct bool
-	// Relay means that another daemon is asked to connect, RelayAfter after the start; zero means at once.
+	// Relay means that a connection through another daemon is requested, RelayAfter after the start; zero means at
+	// once.
 	Relay      bool
 	RelayAfter time.Duration
 }
@@ -55,7 +56,7 @@
 	since   time.Time
 	lastAt  time.Time
 	retryAt time.Time
-	// relayRetryAt is when other daemons may be asked again to connect to the address.
+	// relayRetryAt is when a connection through another daemon may be requested again.
 	relayRetryAt time.Time
 	// reachedByOthersAt is when another daemon connected to the address; zero if none has. localFault means that
 	// an attempt from this machine failed even after that.
@@ -93,7 +94,7 @@
 
 // Plan returns how to connect to an address now. If other daemons reach an address that can't be reached from
 // here, the own path is tried only once per backoff. If none does, the address has most likely ended, and other
-// daemons are asked only once per backoff.
+// daemons are used only once per backoff.
 func (b *Book) Plan(now time.Time, address string) Plan {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
