--- a/gateway/leave_test.go
+++ b/gateway/backgroundqueue_exit_test.go
@@ -48,7 +48,7 @@
 func lineCount(lines *holdLines) int {
 	lines.mutex.Lock()
 	defer lines.mutex.Unlock()
-	return len(lines.lines)
+	return len(lines.queues)
 }
 
 // TestEveryEndLeavesTheLine guards against a place that stays in line after its request: those behind it would be held
--- a/gateway/background.go
+++ b/gateway/backgroundwait.go
@@ -9,28 +9,29 @@
 	"github.com/wheatweir/wheatweir/internal/mechanism"
 )
 
-// background is how a request yields to more urgent ones.
+// background is the state of a request that may yield to more urgent ones.
 type background struct {
-	// applies says that the request yields, and over that its slack has ended.
+	// applies is set if the request yields. over is set once its slack has ended.
 	applies bool
 	over    bool
 	// wait is nil while the request has not waited.
 	wait *backgroundWait
 }
 
-// backgroundWait is the wait of a request that yields.
+// backgroundWait is the state of a yielding request while it waits.
 type backgroundWait struct {
-	place *hold
-	// instance is the best instance at the last look, and decision what followed from it.
+	queued *queuedRequest
+	// instance is the best instance at the last check, and decision the result of that check.
 	instance string
 	decision yieldDecision
-	// told says that the observer knows of it.
-	told bool
-	// waited is the time over all looks so far.
+	// reported is set once the observer has received the event for this wait.
+	reported bool
+	// waited is the total time of all waits so far.
 	waited time.Duration
 }
 
-// mayYield reports whether the request yields to more urgent ones. One that was sent before does not.
+// mayYield reports whether the request yields to more urgent ones. A request that was already sent to an instance does
+// not yield.
 func (e *exchange) mayYield(view *fleet.View) bool {
 	if e.priority < fleet.BackgroundPriority || e.request.Model == "" || e.continues() {
 		return false
@@ -42,7 +43,7 @@
 // yieldsNow reports whether the request waits if its instance is busy.
 func (e *exchange) yieldsNow() bool { return e.background.applies && !e.background.over }
 
-// yield decides on a background request whose best instance is known.
+// yield decides whether a background request is sent to its best instance, waits or is refused.
 func (e *exchange) yield(candidate *balance.Candidate) found {
 	decision := decideYield(yieldInput{
 		Priority: e.priority, Target: e.route.TargetLatency, Waited: e.since(e.request.Arrived), WaitLeft: e.until(e.waitUntil),
@@ -54,26 +55,26 @@
 	if e.background.over || decision.Slack == 0 {
 		return foundReady
 	}
-	if decision.Action == yieldSend && !e.isBehind(candidate.Instance.ID) {
+	if decision.Action == yieldSend && !e.isPreceded(candidate.Instance.ID) {
 		return foundReady
 	}
 	if e.background.wait == nil {
-		e.background.wait = &backgroundWait{place: newHold(e.holdKey(), e.slackEnd())}
+		e.background.wait = &backgroundWait{queued: newQueuedRequest(e.queueKey(), e.slackEnd())}
 	}
 	e.background.wait.instance, e.background.wait.decision = candidate.Instance.ID, decision
 	return foundYields
 }
 
-// isBehind reports whether another request of this daemon goes to the same instance before this one.
-func (e *exchange) isBehind(instance string) bool {
-	var place *hold
+// isPreceded reports whether another request of this daemon is sent to the same instance before this one.
+func (e *exchange) isPreceded(instance string) bool {
+	var queued *queuedRequest
 	if e.background.wait != nil {
-		place = e.background.wait.place
+		queued = e.background.wait.queued
 	}
-	return e.gateway.holds.precedes(place, e.holdKey(), instance, e.slackEnd())
+	return e.gateway.holds.precedes(queued, e.queueKey(), instance, e.slackEnd())
 }
 
-// slackEnd is when the slack would end without a forecast.
+// slackEnd is when the slack of the request would end without a forecast.
 func (e *exchange) slackEnd() time.Time {
 	end := e.request.Arrived.Add(e.route.TargetLatency - yieldReserveOf(e.route.TargetLatency))
 	if e.waitUntil.Before(end) {
@@ -82,45 +83,46 @@
 	return end
 }
 
-func (e *exchange) holdKey() holdKey { return holdKey{e.service, e.request.Model} }
+func (e *exchange) queueKey() queueKey { return queueKey{e.service, e.request.Model} }
 
-// awaitRoom waits for room at the instance until the next look. The request stays in line until leaveLine.
+// awaitRoom waits for room at the instance until the next check. The request stays in the queue until leaveLine is
+// called.
 func (e *exchange) awaitRoom(ctx context.Context) {
 	e.phase = PhasePaced
 	wait := e.background.wait
-	if !wait.told {
-		wait.told = true
+	if !wait.reported {
+		wait.reported = true
 		e.observe(Event{Step: StepPaced, Reason: ReasonYields})
 	}
 	began := e.gateway.Now()
 	pause := min(wait.decision.Slack, lookPause)
-	if e.gateway.holds.put(wait.place, wait.instance) {
+	if e.gateway.holds.enqueue(wait.queued, wait.instance) {
 		pause = wait.decision.Next
 	}
 	e.returnBeforeLoss(pause)
-	e.rest(ctx, pause)
+	e.waitForWake(ctx, pause)
 	took := e.since(began)
 	wait.waited += took
 	e.background.over = took >= wait.decision.Slack
 }
 
-// rest waits until it is this request's turn to look, for a while at most.
-func (e *exchange) rest(ctx context.Context, span time.Duration) {
-	timer := time.NewTimer(span)
+// waitForWake waits until the request becomes the first one for its instance, for the given duration at most.
+func (e *exchange) waitForWake(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
-	case <-e.background.wait.place.wake:
+	case <-e.background.wait.queued.wake:
 	case <-e.gateway.lifetime.Starts.Done():
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// leaveLine takes the request out of line: it was sent and counted, has ended, or waits for something other than
-// room.
+// leaveLine removes the request from its queue. It is called when the request has been sent and counted, has ended, or
+// waits for something other than room.
 func (e *exchange) leaveLine() {
 	if e.background.wait != nil {
-		e.gateway.holds.leave(e.background.wait.place)
+		e.gateway.holds.dequeue(e.background.wait.queued)
 	}
 }
 
--- a/gateway/event.go
+++ b/gateway/event.go
@@ -7,7 +7,7 @@
 	"github.com/wheatweir/wheatweir/fleet"
 )
 
-// Reason tells why a request ended or waits, as it stands in logs and metrics.
+// Reason is why a request ended or waits. It is written to logs and metrics.
 type Reason string
 
 // Reasons.
@@ -15,44 +15,45 @@
 	ReasonStarting Reason = "starting"
 	ReasonStopping Reason = "stopping"
 	ReasonNoRoute  Reason = "no_route"
-	// ReasonNoKey says that the request lacks the key that its route needs, ReasonUnknownKey
-	// that no tenant holds it.
+	// ReasonNoKey means that the request lacks the key that its route requires, ReasonUnknownKey that no tenant has
+	// this key.
 	ReasonNoKey      Reason = "no_key"
 	ReasonUnknownKey Reason = "unknown_key"
-	// ReasonUnsure says that the configuration here may be too old to tell whether the key
-	// is still valid.
+	// ReasonUnsure means that the configuration of this daemon may be too old to tell whether the key is still valid.
 	ReasonUnsure Reason = "configuration_unsure"
-	// ReasonQuota says that the tenant has used its limit up, ReasonQuotaUnsure that no
-	// daemon could be asked whether it has.
+	// ReasonQuota means that the tenant has exhausted its limit, ReasonQuotaUnsure that no daemon could be reached to
+	// check the limit.
 	ReasonQuota       Reason = "quota"
 	ReasonQuotaUnsure Reason = "quota_unsure"
 	ReasonNoInstance  Reason = "no_instance"
 	ReasonOverloaded  Reason = "overloaded"
 	ReasonNoModel     Reason = "no_model"
 	ReasonNoAdapter   Reason = "no_adapter"
-	// ReasonNoConnection says that instances have what the request needs, and all
-	// connections to them that this daemon may have are in use.
+	// ReasonNoConnection means that suitable instances exist, but all connections to them that this daemon may open are
+	// in use.
 	ReasonNoConnection Reason = "no_connection"
-	// ReasonAtLimit says that instances have what the request needs, and take no more from all daemons
-	// together for a while.
+	// ReasonAtLimit means that suitable instances exist, but they accept no more requests from all daemons together for
+	// a while.
 	ReasonAtLimit Reason = "at_limit"
-	// ReasonResting says that instances have what the request needs, and all of them want nothing from this
-	// daemon for a while.
+	// ReasonResting means that suitable instances exist, but all of them have requested that this daemon sends nothing
+	// for a while.
 	ReasonResting Reason = "resting"
-	// ReasonEvacuated says that all instances of the service stand in evacuated zones.
+	// ReasonEvacuated means that all instances of the service are in evacuated zones.
 	ReasonEvacuated Reason = "evacuated"
-	// ReasonUnknownOrigin says that nobody knows which software version began the stream that the request takes up.
+	// ReasonUnknownOrigin means that the software version that started the stream to be resumed is unknown.
 	ReasonUnknownOrigin Reason = "unknown_origin"
-	// ReasonNoSoftware says that no instance is left of the software version that began the stream.
+	// ReasonNoSoftware means that no instance is left of the software version that started the stream.
 	ReasonNoSoftware Reason = "no_software"
-	// ReasonLeaving says that an instance has said that it takes no new requests.
+	// ReasonLeaving means that an instance has announced that it accepts no new requests.
 	ReasonLeaving Reason = "leaving"
-	// ReasonQuarantined says that servers crashed under requests of this content, or with a part of this prompt.
+	// ReasonQuarantined means that servers crashed while running requests with this content, or with a part of this
+	// prompt.
 	ReasonQuarantined Reason = "quarantined"
-	// ReasonSuspected says that a server has crashed under a request of this content or with a part of this prompt,
-	// and that such requests go one after the other until that is decided.
+	// ReasonSuspected means that a server crashed while running a request with this content or with a part of this
+	// prompt. Until it is decided whether the request caused the crash, such requests run one at a time.
 	ReasonSuspected Reason = "suspected"
-	// ReasonYields says that a background request leaves its server to more urgent ones until its slack ends.
+	// ReasonYields means that a background request waits for more urgent ones at its server, until its slack ends at
+	// the latest.
 	ReasonYields      Reason = "yields"
 	ReasonDeclined    Reason = "declined"
 	ReasonUnreached   Reason = "unreached"
@@ -62,13 +63,14 @@
 	ReasonClientGone  Reason = "client_gone"
 	ReasonAnswered    Reason = "answered"
 	ReasonStreamBroke Reason = "stream_broke"
-	// ReasonBodyTooLarge and ReasonBodyFramedTwice say what is wrong with the body.
+	// ReasonBodyTooLarge and ReasonBodyFramedTwice are faults of the request's body: it exceeds the maximum size, or
+	// its framing is given in two ways.
 	ReasonBodyTooLarge    Reason = "body_too_large"
 	ReasonBodyFramedTwice Reason = "body_framed_twice"
 )
 
-// Step is one decision on a request, as it stands in logs and metrics. Each request ends with
-// exactly one of StepEnded, StepRefused and StepBrokenOff.
+// Step is a decision on a request. It is written to logs and metrics. Each request ends with exactly one of StepEnded,
+// StepRefused and StepBrokenOff.
 type Step string
 
 // Final reports whether a step ends a request.
@@ -76,51 +78,50 @@
 
 // Steps.
 const (
-	// StepWaiting says that no instance can take the request now.
+	// StepWaiting means that no instance can take the request now.
 	StepWaiting Step = "waiting"
-	// StepPaced says that every instance has many prompts to read, or with ReasonYields that the request waits for
+	// StepPaced means that every instance has many prompts to process or, with ReasonYields, that the request waits for
 	// more urgent ones.
 	StepPaced Step = "paced"
-	// StepSent says that an instance was chosen.
+	// StepSent means that an instance was chosen.
 	StepSent Step = "sent"
-	// StepUnreached says that nothing could be sent to it.
+	// StepUnreached means that nothing could be sent to the chosen instance.
 	StepUnreached Step = "unreached"
-	// StepDeclined says that the instance did not run the request.
+	// StepDeclined means that the instance did not run the request.
 	StepDeclined Step = "declined"
-	// StepAttemptFailed says that the instance may have run it, without an answer
-	// that can be passed on.
+	// StepAttemptFailed means that the instance may have run the request, but gave no answer that can be relayed.
 	StepAttemptFailed Step = "attempt_failed"
-	// StepStreamBroke says that a stream ended before its end.
+	// StepStreamBroke means that a stream was truncated.
 	StepStreamBroke Step = "stream_broke"
-	// StepEjected says that the instance gets no requests for a while.
+	// StepEjected means that the instance receives no requests for a while.
 	StepEjected Step = "ejected"
-	// StepEnded, StepRefused and StepBrokenOff end a request: with the answer of
-	// an instance or because the client left or the daemon ended, with an answer
-	// of our own, or in the middle of an answer.
+	// StepEnded, StepRefused and StepBrokenOff end a request. StepEnded: with the answer of an instance, or because the
+	// client left or the daemon ended. StepRefused: with an answer of this daemon. StepBrokenOff: in the middle of an
+	// answer.
 	StepEnded     Step = "ended"
 	StepRefused   Step = "refused"
 	StepBrokenOff Step = "broken_off"
 )
 
-// Phase is how far a request has come.
+// Phase is the stage of processing that a request has reached.
 type Phase string
 
 const (
-	// PhaseReading says that the request's body arrives.
+	// PhaseReading means that the request's body is being received.
 	PhaseReading Phase = "reading"
-	// PhaseChoosing says that an instance is being chosen, here or at the dispatcher.
+	// PhaseChoosing means that an instance is being chosen, by this daemon or by the dispatcher.
 	PhaseChoosing Phase = "choosing"
-	// PhaseWaiting says that no instance can take the request now.
+	// PhaseWaiting means that no instance can take the request now.
 	PhaseWaiting Phase = "waiting"
-	// PhasePaced says that it is held back while all instances have much to do.
+	// PhasePaced means that the request is delayed while all instances are busy.
 	PhasePaced Phase = "paced"
-	// PhaseAttempt says that an instance was chosen and has not begun to answer.
+	// PhaseAttempt means that an instance was chosen and has not started to answer.
 	PhaseAttempt Phase = "attempt"
-	// PhaseAnswering says that an instance's answer arrives.
+	// PhaseAnswering means that an instance's answer is being received.
 	PhaseAnswering Phase = "answering"
 )
 
-// Event is one decision on a request, for the log and the metrics.
+// Event is a decision on a request, for the log and the metrics.
 type Event struct {
 	Step    Step
 	Request *Request
@@ -129,44 +130,44 @@
 	Tenant string
 	// Instance is empty if none was chosen.
 	Instance string
-	// Software is the version of the instance's software, at the step of sending.
+	// Software is the version of the instance's software, at StepSent.
 	Software string
 	Attempt  int
 	Status   int
 	Reason   Reason
-	// Framing is how the instance's answer was framed, at the end of one; empty at other steps.
+	// Framing is the framing of the instance's answer, at the end of an answer; empty at other steps.
 	Framing Framing
-	// Phase is how far the request had come.
+	// Phase is the phase that the request had reached.
 	Phase Phase
 	// Candidates is the number of instances that could have been chosen.
 	Candidates int
 	// ChosenBy is the daemon that chose the instance, empty for this one.
 	ChosenBy string
-	// Left is what the instance may take.
+	// Left is the time left for the instance.
 	Left time.Duration
-	// Content is the digest of the request's content; empty where nothing asked for it.
+	// Content is the digest of the request's content; empty if it was not needed.
 	Content string
-	// HeldFor is the digest of the content or part that the request is held for; empty if it is not.
+	// HeldFor is the digest of the content or prompt part for which the request is held, that is kept from instances;
+	// empty if it is not held.
 	HeldFor string
-	// Load is what the instance was believed to have to do.
+	// Load is the load of the instance as estimated by the balancer.
 	Load balance.Load
-	// Forecast is the predicted time of the first token after the choice; zero if there is
-	// no prediction.
+	// Forecast is the predicted time from the choice to the first token; zero if there is no prediction.
 	Forecast time.Duration
 	// Yielded is how long the request has waited for more urgent ones.
 	Yielded time.Duration
-	// RetryAfter is when a refused client was told to come back.
+	// RetryAfter is the retry delay given to a refused client.
 	RetryAfter time.Duration
-	// FirstEvent is how long the client waited for the first event of a stream, and
-	// LongestPause the longest time between two of its pieces; zero if none came.
+	// FirstEvent is how long the client waited for the first event of a stream, and LongestPause the maximum time
+	// between two of its pieces; zero if there was none.
 	FirstEvent   time.Duration
 	LongestPause time.Duration
-	// Version is the configuration that decided.
+	// Version is the version of the configuration that the decision was based on.
 	Version uint64
 	Err     error
 }
 
-// endsAnswer reports whether the answer of an instance has ended, well or not.
+// endsAnswer reports whether the event ends the answer of an instance, successfully or not.
 func (e *Event) endsAnswer() bool {
 	switch e.Step {
 	case StepStreamBroke, StepAttemptFailed:
@@ -177,8 +178,8 @@
 	return false
 }
 
-// TellsPrompt reports whether the parts of the request's prompt help to find out why it ended: its instance may have
-// crashed under it, or it is kept from instances since others did.
+// TellsPrompt reports whether the parts of the request's prompt help to find the cause of the event. That is so if the
+// instance may have crashed while running the request, or if the request is kept from instances since others crashed.
 func (e *Event) TellsPrompt() bool {
 	switch e.Step {
 	case StepStreamBroke, StepAttemptFailed:
@@ -187,10 +188,10 @@
 	return e.Reason == ReasonQuarantined || e.Reason == ReasonSuspected
 }
 
-// Lateness is why an answer that was served to its end was late.
+// Lateness is why an answer that was delivered completely was late.
 type Lateness string
 
-// Ways of being late. A stream whose first event is late counts as that, whatever follows.
+// Kinds of lateness. A stream whose first event is late is LateFirst, whatever follows.
 const (
 	OnTime     Lateness = ""
 	LateFirst  Lateness = "first"
@@ -198,9 +199,8 @@
 	LateAnswer Lateness = "answer"
 )
 
-// Late tells whether the answer that the event ends came later than its route's targets,
-// which count from the arrival of the request here: what its client had waited before, in
-// earlier attempts, is not known.
+// Late reports whether the answer that the event ends exceeded its route's latency targets. They count from the arrival
+// of the request at this daemon: the time that its client spent on earlier attempts is not known.
 func (e *Event) Late(now time.Time) Lateness {
 	switch {
 	case e.Step != StepEnded || e.Reason != ReasonAnswered || e.Route == nil || e.Route.TargetLatency <= 0:
@@ -217,7 +217,7 @@
 	return OnTime
 }
 
-// Observer hears of each decision. It must not block.
+// Observer receives each decision. Observe must not block.
 type Observer interface {
 	Observe(event Event)
 }
--- a/gateway/eventstream.go
+++ b/gateway/eventstream.go
@@ -6,40 +6,41 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrBrokenOff is the class of answers that their instance broke off although their framing looks whole.
+// ErrBrokenOff is the class of errors for answers that were truncated by their instance although their framing is complete.
 var ErrBrokenOff = errs.Class("gateway: broken off")
 
-// eventScanner follows a stream of events byte by byte and knows whether it stands between two events. Lines end with LF,
-// CR or CR LF, an event with an empty line; a line that begins with a colon is a comment and part of no event. The zero
-// value stands at the beginning of a stream.
+// eventScanner scans a stream of server-sent events byte by byte and tracks whether the position is between two events.
+// Lines end with LF, CR or CR LF, and an event ends with an empty line. A line that begins with a colon is a comment and
+// not part of an event. The zero value is at the beginning of a stream.
 type eventScanner struct {
-	// inLine says that a line has begun.
+	// inLine is set while the position is inside a line.
 	inLine bool
-	// inEvent says that an event has begun.
+	// inEvent is set while the position is inside an event.
 	inEvent bool
-	// afterCR says that the last byte was a CR, of which an LF would be the second half.
+	// afterCR is set if the last byte was a CR; an LF that follows belongs to the same line end.
 	afterCR bool
-	// ended says that an event has ended.
-	ended bool
+	// eventEnded is set once at least one event has ended.
+	eventEnded bool
 }
 
-// scan takes in a piece and returns how much of it stands before the last place between two events; zero if there is none.
+// scan processes a piece and returns the length of its part before the last boundary between two events; zero if the piece
+// has no such boundary.
 func (s *eventScanner) scan(piece []byte) (cut int) {
 	for i := 0; i < len(piece); i++ {
 		if s.inLine {
-			// The rest of a line says nothing.
+			// Only the first byte of a line and its end matter for event boundaries.
 			if i += lineLength(piece[i:]); i == len(piece) {
 				break
 			}
 		}
-		if s.take(piece[i]) {
+		if s.scanByte(piece[i]) {
 			cut = i + 1
 		}
 	}
 	return cut
 }
 
-// lineLength returns how many bytes stand before the first line end.
+// lineLength returns the number of bytes before the first line end.
 func lineLength(piece []byte) int {
 	if end := bytes.IndexByte(piece, '\n'); end >= 0 {
 		piece = piece[:end]
@@ -50,12 +51,12 @@
 	return len(piece)
 }
 
-// take takes in a byte and reports whether the stream stands behind an empty line.
-func (s *eventScanner) take(char byte) bool {
-	secondHalf := s.afterCR && char == '\n'
+// scanByte processes a byte and reports whether the position is after an empty line.
+func (s *eventScanner) scanByte(char byte) bool {
+	completesCRLF := s.afterCR && char == '\n'
 	s.afterCR = char == '\r'
 	switch {
-	case secondHalf:
+	case completesCRLF:
 		return !s.inEvent && !s.inLine
 	case char == '\n' || char == '\r':
 		return s.endLine()
@@ -73,26 +74,26 @@
 		return false
 	}
 	if s.inEvent {
-		s.inEvent, s.ended = false, true
+		s.inEvent, s.eventEnded = false, true
 	}
 	return true
 }
 
-// brokenOff returns an error if a stream that ends here was broken off, whatever its framing says. A stream without a
-// length or chunks that ends before its first event cannot be told from one whose instance has crashed, unless it goes on
-// after an event that may have been the last one.
-func (s *eventScanner) brokenOff(framing Framing, goesOn bool) error {
+// truncationError returns an error if a stream that ends at this position was truncated, even if its framing is
+// complete. A stream without a length or chunks that ends before its first event cannot be distinguished from one whose
+// instance has crashed, unless it was resumed after an event that may have been the last one.
+func (s *eventScanner) truncationError(framing Framing, resumed bool) error {
 	switch {
 	case s.inEvent:
-		return ErrBrokenOff.New("inside an event")
-	case framing == FramedByConnection && !s.ended && !goesOn:
-		return ErrBrokenOff.New("before the first event")
+		return ErrBrokenOff.New("stream ended inside an event")
+	case framing == FramedByConnection && !s.eventEnded && !resumed:
+		return ErrBrokenOff.New("stream ended before the first event")
 	}
 	return nil
 }
 
-// eventCutter cuts a stream of events after whole events.
-type eventCutter struct {
+// eventSplitter splits a stream of events after complete events and buffers the incomplete remainder.
+type eventSplitter struct {
 	scanner eventScanner
 	pending []byte
 	lastID  string
@@ -100,8 +101,8 @@
 
 var idPrefix = []byte("id:")
 
-// whole returns the whole events that are complete now. The slice is valid until the next call.
-func (c *eventCutter) whole(piece []byte) []byte {
+// completeEvents adds a piece and returns the events that are complete now. The slice is valid until the next call.
+func (c *eventSplitter) completeEvents(piece []byte) []byte {
 	cut := c.scanner.scan(piece)
 	if cut == 0 {
 		c.pending = append(c.pending, piece...)
@@ -112,12 +113,12 @@
 		events = append(c.pending, events...)
 	}
 	c.pending = append([]byte(nil), piece[cut:]...)
-	c.note(events)
+	c.recordLastID(events)
 	return events
 }
 
-// note remembers the id of the last event that has one.
-func (c *eventCutter) note(events []byte) {
+// recordLastID stores the ID of the last event that has one.
+func (c *eventSplitter) recordLastID(events []byte) {
 	for _, line := range bytes.FieldsFunc(events, isLineEnd) {
 		if value, found := bytes.CutPrefix(line, idPrefix); found {
 			c.lastID = string(bytes.TrimSpace(value))
@@ -127,5 +128,5 @@
 
 func isLineEnd(char rune) bool { return char == '\n' || char == '\r' }
 
-// rest returns what follows the last whole event.
-func (c *eventCutter) rest() []byte { return c.pending }
+// remainder returns the bytes after the last complete event.
+func (c *eventSplitter) remainder() []byte { return c.pending }
--- a/gateway/eventstream_test.go
+++ b/gateway/eventstream_test.go
@@ -29,15 +29,15 @@
 	}
 	for _, c := range cases {
 		for size := 1; size <= len(c.stream)+1; size++ {
-			var cutter eventCutter
+			var cutter eventSplitter
 			var whole strings.Builder
 			for rest := c.stream; len(rest) > 0; {
 				piece := rest[:min(size, len(rest))]
 				rest = rest[len(piece):]
-				whole.Write(cutter.whole([]byte(piece)))
+				whole.Write(cutter.completeEvents([]byte(piece)))
 			}
-			if whole.String() != c.whole || cutter.scanner.inEvent != c.inside || whole.String()+string(cutter.rest()) != c.stream {
-				t.Errorf("%s, in pieces of %d bytes: %q whole, %q left, inside %v", c.name, size, whole.String(), cutter.rest(), cutter.scanner.inEvent)
+			if whole.String() != c.whole || cutter.scanner.inEvent != c.inside || whole.String()+string(cutter.remainder()) != c.stream {
+				t.Errorf("%s, in pieces of %d bytes: %q whole, %q left, inside %v", c.name, size, whole.String(), cutter.remainder(), cutter.scanner.inEvent)
 			}
 		}
 	}
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -20,21 +20,21 @@
 	statusTooManyRequests = 429
 )
 
-// unknownLength is the length of an answer that does not tell it beforehand.
+// unknownLength is the length of an answer whose length is not announced in its head.
 const unknownLength = -1
 
-// pass hands an answer on to the client.
+// pass relays an instance's answer to the client.
 func (e *exchange) pass(ctx context.Context, candidate *balance.Candidate, response Response) verdict {
 	defer response.Close()
 	if e.route.Kind == fleet.KindStream && response.Status() == statusOK && response.Signed() {
-		return e.passStream(ctx, candidate, response)
+		return e.relayStream(ctx, candidate, response)
 	}
-	return e.passWhole(ctx, candidate.Instance, response)
+	return e.relayBuffered(ctx, candidate.Instance, response)
 }
 
-// passWhole takes in the whole answer before the client sees any of it, so that
-// one that breaks off can be repeated or told apart.
-func (e *exchange) passWhole(ctx context.Context, instance *fleet.Instance, response Response) verdict {
+// relayBuffered reads the whole answer before sending any of it to the client. A truncated answer can then be retried,
+// or reported to the client as a failure.
+func (e *exchange) relayBuffered(ctx context.Context, instance *fleet.Instance, response Response) verdict {
 	id := instance.ID
 	body, err := io.ReadAll(io.LimitReader(response, maxWhole+1))
 	if err != nil {
@@ -45,12 +45,12 @@
 	}
 	if len(body) > maxWhole {
 		e.end(id, balance.Served)
-		return e.passLarge(ctx, instance, response, body)
+		return e.relayLarge(ctx, instance, response, body)
 	}
-	genuine := (response.Signed() || response.Status() >= statusMultipleChoices) && !promisesNotRun(response.Status())
-	if response.Status() >= statusServerError || !genuine {
+	acceptable := (response.Signed() || response.Status() >= statusMultipleChoices) && !impliesNotRun(response.Status())
+	if response.Status() >= statusServerError || !acceptable {
 		e.end(id, balance.Failed)
-		if !genuine || e.canRepeatFailure() {
+		if !acceptable || e.mayRetryFailure() {
 			e.observe(Event{Step: StepAttemptFailed, Instance: id, Status: response.Status()})
 			return verdictBroken
 		}
@@ -71,9 +71,9 @@
 	return verdictEnded
 }
 
-// promisesNotRun reports whether a status tells the client that the request has
-// not run. An instance that ran it may not say so to the client.
-func promisesNotRun(status int) bool {
+// impliesNotRun reports whether a status implies to the client that the request was not executed. An answer with such a
+// status from an instance that executed the request is not relayed.
+func impliesNotRun(status int) bool {
 	switch status {
 	case statusUnavailable, statusTooManyRequests, statusRequestTimeout, statusMisdirected:
 		return true
@@ -81,14 +81,14 @@
 	return false
 }
 
-// canRepeatFailure reports whether an answer that tells of a failure may be
-// dropped because another instance can be tried.
-func (e *exchange) canRepeatFailure() bool {
+// mayRetryFailure reports whether an answer with an error status may be discarded because another instance can be
+// tried.
+func (e *exchange) mayRetryFailure() bool {
 	return e.route.Repeatable() && len(e.sentTo) < e.route.MaxAttempts
 }
 
-// passLarge hands on an answer that is too large to be taken in whole.
-func (e *exchange) passLarge(ctx context.Context, instance *fleet.Instance, response Response, head []byte) verdict {
+// relayLarge relays an answer that is too large to be buffered as a whole. Head is the part that has already been read.
+func (e *exchange) relayLarge(ctx context.Context, instance *fleet.Instance, response Response, head []byte) verdict {
 	id := instance.ID
 	if e.begun {
 		return verdictBroken
@@ -118,31 +118,30 @@
 	}
 }
 
-// passStream hands on the events of a stream as they come. For a stream that may
-// be resumed only whole events are passed on, so that another instance can go on
-// after the last one.
-func (e *exchange) passStream(ctx context.Context, candidate *balance.Candidate, response Response) verdict {
+// relayStream relays the events of a stream as they arrive. For a resumable stream only complete events are relayed, so
+// that another instance can continue after the last one.
+func (e *exchange) relayStream(ctx context.Context, candidate *balance.Candidate, response Response) verdict {
 	id := candidate.Instance.ID
 	buffer := make([]byte, pieceSize)
-	var events eventCutter
-	// A run that goes on after the last event of a stream has none of its own.
+	var events eventSplitter
+	// A run that resumes after the last event of a stream produces no events of its own.
 	resumed := e.resumeAfter != ""
-	var pauses sampler
-	sampling := e.samples()
+	var gaps sampler
+	sampling := e.isSampled()
 	for {
 		count, err := response.Read(buffer)
 		if count > 0 {
 			e.answering(candidate)
-			if sampling && pauses.read(e.gateway.Now(), buffer[:count]) {
-				e.sampled(id, &pauses)
+			if sampling && gaps.record(e.gateway.Now(), buffer[:count]) {
+				e.reportSample(id, &gaps)
 			}
 			piece := buffer[:count]
 			if e.route.Resumable {
-				piece = events.whole(piece)
+				piece = events.completeEvents(piece)
 			} else {
 				events.scanner.scan(piece)
 			}
-			if !e.forward(candidate.Instance, response, piece) {
+			if !e.writePiece(candidate.Instance, response, piece) {
 				e.end(id, balance.Abandoned)
 				e.observe(Event{Step: StepEnded, Instance: id, Reason: ReasonClientGone})
 				e.reply.Abort()
@@ -153,8 +152,8 @@
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			if brokenOff := events.scanner.brokenOff(response.Framing(), resumed); brokenOff != nil {
-				err = brokenOff
+			if truncated := events.scanner.truncationError(response.Framing(), resumed); truncated != nil {
+				err = truncated
 			}
 		}
 		switch {
@@ -163,9 +162,9 @@
 		case errors.Is(err, io.EOF):
 			e.answered(candidate)
 			if sampling {
-				e.sampled(id, &pauses)
+				e.reportSample(id, &gaps)
 			}
-			return e.streamEnded(candidate.Instance, response, &events)
+			return e.finishStream(candidate.Instance, response, &events)
 		default:
 			e.brokenBy(ctx, candidate.Instance)
 			e.end(id, blame(ctx, balance.Failed))
@@ -175,12 +174,12 @@
 	}
 }
 
-// streamEnded ends a stream that is whole.
-func (e *exchange) streamEnded(instance *fleet.Instance, response Response, events *eventCutter) verdict {
+// finishStream ends a stream that has arrived completely.
+func (e *exchange) finishStream(instance *fleet.Instance, response Response, events *eventSplitter) verdict {
 	id := instance.ID
 	e.end(id, balance.Served)
 	e.endedWell(id)
-	if !e.forward(instance, response, events.rest()) {
+	if !e.writePiece(instance, response, events.remainder()) {
 		e.reply.Abort()
 	}
 	if !e.begun {
@@ -191,35 +190,35 @@
 	return verdictEnded
 }
 
-// forward sends a piece of a stream, after the head if that is still due. The length that the instance gave is not passed
-// on: what has gone out when the stream breaks off must not look whole, and another instance may go on with other bytes. It
-// reports whether the client still takes bytes.
-func (e *exchange) forward(instance *fleet.Instance, response Response, piece []byte) bool {
+// writePiece sends a piece of a stream to the client, preceded by the head if that has not been sent yet. The length
+// given by the instance is not relayed: a truncated stream must not look complete to the client, and another instance
+// may continue it with different bytes. It reports whether the client still accepts bytes.
+func (e *exchange) writePiece(instance *fleet.Instance, response Response, piece []byte) bool {
 	if len(piece) == 0 {
 		return true
 	}
 	if !e.begun {
 		e.begun = true
-		e.began(instance)
+		e.recordStart(instance)
 		if e.reply.Begin(response.Status(), response.Header(), unknownLength) != nil {
 			return false
 		}
 	}
-	e.pace.note(e.gateway.Now())
+	e.pace.recordPiece(e.gateway.Now())
 	return e.reply.Write(piece) == nil
 }
 
-// delivery is when the pieces of a stream were handed to the client.
+// delivery records when the pieces of a stream were written to the client.
 type delivery struct {
 	firstAt, lastAt time.Time
 	longest         time.Duration
 }
 
-func (p *delivery) note(now time.Time) {
-	if p.firstAt.IsZero() {
-		p.firstAt = now
+func (d *delivery) recordPiece(now time.Time) {
+	if d.firstAt.IsZero() {
+		d.firstAt = now
 	} else {
-		p.longest = max(p.longest, now.Sub(p.lastAt))
+		d.longest = max(d.longest, now.Sub(d.lastAt))
 	}
-	p.lastAt = now
+	d.lastAt = now
 }
--- a/gateway/sample_test.go
+++ b/gateway/sampler_test.go
@@ -15,20 +15,20 @@
 	pauses := []time.Duration{0, 30, 10, 90, 11, 80, 12, 70}
 	for i, pause := range pauses {
 		now = now.Add(pause * time.Millisecond)
-		if complete := s.read(now, []byte(event)); complete != (i == len(pauses)-1) {
+		if complete := s.record(now, []byte(event)); complete != (i == len(pauses)-1) {
 			t.Errorf("complete is %v after %d events", complete, i+1)
 		}
 	}
-	if got, complete := s.take(); !complete || got != 11*time.Millisecond {
+	if got, complete := s.finish(); !complete || got != 11*time.Millisecond {
 		t.Errorf("%s, %v", got, complete)
 	}
-	for i := range eventsOfSample {
+	for i := range eventsPerSample {
 		now = now.Add(5 * time.Millisecond)
-		if complete := s.read(now, []byte(event)); complete != (i == eventsOfSample-1) {
+		if complete := s.record(now, []byte(event)); complete != (i == eventsPerSample-1) {
 			t.Errorf("second sample: complete is %v after %d events", complete, i+1)
 		}
 	}
-	if got, _ := s.take(); got != 5*time.Millisecond {
+	if got, _ := s.finish(); got != 5*time.Millisecond {
 		t.Errorf("second sample %s", got)
 	}
 }
@@ -40,9 +40,9 @@
 		var s sampler
 		for range events {
 			now = now.Add(time.Millisecond)
-			s.read(now, []byte(event))
+			s.record(now, []byte(event))
 		}
-		if _, complete := s.take(); complete != (events > leastGaps) {
+		if _, complete := s.finish(); complete != (events > minGaps) {
 			t.Errorf("%d events: complete is %v", events, complete)
 		}
 	}
@@ -52,9 +52,9 @@
 func TestEventsReadTogetherShareTheirTime(t *testing.T) {
 	var s sampler
 	now := time.Unix(1e9, 0)
-	s.read(now, []byte(event))
-	s.read(now.Add(40*time.Millisecond), []byte(event+event+event+event))
-	if got, complete := s.take(); !complete || got != 10*time.Millisecond {
+	s.record(now, []byte(event))
+	s.record(now.Add(40*time.Millisecond), []byte(event+event+event+event))
+	if got, complete := s.finish(); !complete || got != 10*time.Millisecond {
 		t.Errorf("%s, %v", got, complete)
 	}
 }
@@ -62,14 +62,14 @@
 // TestEventsAreCountedAcrossPieces guards against events that are missed or counted twice where a read ends in one.
 func TestEventsAreCountedAcrossPieces(t *testing.T) {
 	text := []byte("id: 1\ndata: a\n\ndata: b\n\n\n\n: comment\n\ndata: c\n\n\ndata: d\n\n")
-	want := bytes.Count(text, eventEnd)
+	want := bytes.Count(text, eventTerminator)
 	for size := 1; size <= len(text); size++ {
 		var s sampler
 		got := 0
 		for rest := text; len(rest) > 0; {
 			piece := rest[:min(size, len(rest))]
 			rest = rest[len(piece):]
-			got += s.ends(piece)
+			got += s.countEnds(piece)
 		}
 		if got != want {
 			t.Errorf("%d events in pieces of %d bytes, want %d", got, size, want)
@@ -81,11 +81,11 @@
 func TestManyEventsAtOnceAreBounded(t *testing.T) {
 	var s sampler
 	now := time.Unix(1e9, 0)
-	s.read(now, []byte(event))
-	if complete := s.read(now.Add(time.Second), bytes.Repeat([]byte(event), 100)); !complete {
+	s.record(now, []byte(event))
+	if complete := s.record(now.Add(time.Second), bytes.Repeat([]byte(event), 100)); !complete {
 		t.Error("not complete")
 	}
-	if got, complete := s.take(); !complete || got != 10*time.Millisecond {
+	if got, complete := s.finish(); !complete || got != 10*time.Millisecond {
 		t.Errorf("%s, %v", got, complete)
 	}
 }
@@ -95,15 +95,15 @@
 	var s sampler
 	now, piece := time.Unix(1e9, 0), []byte(event)
 	allocations := testing.AllocsPerRun(100, func() {
-		for range 2 * eventsOfSample {
+		for range 2 * eventsPerSample {
 			now = now.Add(time.Millisecond)
-			if s.read(now, piece) {
-				s.take()
+			if s.record(now, piece) {
+				s.finish()
 			}
 		}
 	})
 	if allocations > 0 {
-		t.Errorf("%.0f allocations for %d events", allocations, 2*eventsOfSample)
+		t.Errorf("%.0f allocations for %d events", allocations, 2*eventsPerSample)
 	}
 }
 
@@ -113,8 +113,8 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		if s.read(now, piece) {
-			s.take()
+		if s.record(now, piece) {
+			s.finish()
 		}
 	}
 }
