--- a/gateway/backgroundheld_test.go
+++ b/gateway/backgroundheld_test.go
@@ -14,8 +14,8 @@
 	"github.com/wheatweir/wheatweir/tenant"
 )
 
-// TestHeldRequestsFollowEachOther guards against requests behind the first one that sleep on while a server has room
-// for several: each is woken as soon as the one before it has been sent.
+// TestHeldRequestsFollowEachOther guards against queued requests that keep sleeping while a server has room for
+// several. Each is woken as soon as the preceding one has been sent.
 func TestHeldRequestsFollowEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const held, roomAt = 4, 1010 * time.Millisecond
@@ -28,8 +28,8 @@
 			all.Go(func() {
 				got := &client{}
 				g.Serve(context.Background(), mixedRequest("resume", "r"), got)
-				if took := got.at.Sub(begun); got.status != 200 || took < roomAt || took > roomAt+look {
-					t.Errorf("status %d after %v, room came after %v", got.status, took, roomAt)
+				if took := got.at.Sub(begun); got.status != 200 || took < roomAt || took > roomAt+maxPollInterval {
+					t.Errorf("status %d after %v, room was available after %v", got.status, took, roomAt)
 				}
 			})
 			time.Sleep(time.Millisecond)
@@ -38,7 +38,7 @@
 	})
 }
 
-// recordingChooser chooses by what this daemon knows, and keeps which requests said that they yield.
+// recordingChooser chooses by the state of this daemon, and records which requests were marked as yielding.
 type recordingChooser struct {
 	picker *balance.Picker
 	yields []bool
@@ -49,8 +49,8 @@
 	return c.picker.Pick(time.Now(), view.Instances(service), request)
 }
 
-// TestDispatcherIsToldWhoYields guards against a dispatcher that counts each look of a held request as a request on its
-// way to the server, which then looks full for as long as anybody waits for it.
+// TestDispatcherIsToldWhoYields guards against a dispatcher that counts each check of a waiting request as a request on
+// its way to the server. The server would then look full for as long as any request waits for it.
 func TestDispatcherIsToldWhoYields(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := busyTracker(4)
@@ -64,7 +64,7 @@
 			}
 		}
 		if last < 100 {
-			t.Errorf("%d looks in 2.75 s", last+1)
+			t.Errorf("%d checks in 2.75 s", last+1)
 		}
 		chooser.yields = nil
 		g.Serve(context.Background(), mixedRequest("stream", "r"), &client{})
@@ -74,8 +74,8 @@
 	})
 }
 
-// TestHeldRequestIsChargedOnce guards against a tenant that pays for the allowance that grew too old during the wait
-// and for the one of the run.
+// TestHeldRequestIsChargedOnce guards against a tenant that is charged twice: for the allowance that expired during the
+// wait and for the allowance of the run.
 func TestHeldRequestIsChargedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		quotas := &ledger{answer: gateway.Allowance{Granted: true}}
@@ -89,7 +89,7 @@
 		sent.Key = tenant.DigestOf(goodKey)
 		g.Serve(context.Background(), sent, got)
 		if len(quotas.taken)-len(quotas.returned) != 1 || got.status != 200 {
-			t.Errorf("status %d, taken %d times, given back %d times", got.status, len(quotas.taken), len(quotas.returned))
+			t.Errorf("status %d, taken %d times, returned %d times", got.status, len(quotas.taken), len(quotas.returned))
 		}
 	})
 }
--- a/gateway/backgroundqueue_exit_test.go
+++ b/gateway/backgroundqueue_exit_test.go
@@ -20,21 +20,22 @@
 	return &balance.Candidate{Instance: instance, Available: true, Of: 1, Load: balance.Load{Requests: instance.Slots}}
 }
 
-// brokenUpstream takes requests and answers none.
+// brokenUpstream fails each request after it may have reached the instance.
 type brokenUpstream struct{ roomyUpstream }
 
 func (brokenUpstream) Send(context.Context, *Outbound) (Response, error) {
 	return nil, ErrUnknown.New("reset")
 }
 
-// idleDemand hears of nothing.
-type idleDemand struct{}
+// discardDemand is a DemandObserver that ignores everything.
+type discardDemand struct{}
 
-func (idleDemand) Lacking(string, string, string) func() { return func() {} }
-func (idleDemand) Enter(string, string) func()           { return func() {} }
-func (idleDemand) Refused(string, string)                {}
+func (discardDemand) Lacking(string, string, string) func() { return func() {} }
+func (discardDemand) Enter(string, string) func()           { return func() {} }
+func (discardDemand) Refused(string, string)                {}
 
-// yieldingView has one server, and background requests on the path /x/ that yield there.
+// yieldingView has one server, and a route with the path prefix /x/ whose requests are background requests that yield
+// there.
 func yieldingView() *fleet.View {
 	targets := []fleet.Target{{Service: "svc", Weight: 1}}
 	configuration := &fleet.Configuration{Version: 1, Services: []fleet.Service{{Name: "svc"}}, Routes: []fleet.Route{
@@ -45,14 +46,14 @@
 	return fleet.NewView(configuration, []*fleet.Instance{instance})
 }
 
-func lineCount(lines *holdLines) int {
-	lines.mutex.Lock()
-	defer lines.mutex.Unlock()
-	return len(lines.queues)
+func queueCount(queues *holdLines) int {
+	queues.mutex.Lock()
+	defer queues.mutex.Unlock()
+	return len(queues.queues)
 }
 
-// TestEveryEndLeavesTheLine guards against a place that stays in line after its request: those behind it would be held
-// until their slack ends, and the line would grow for ever.
+// TestEveryEndLeavesTheLine guards against an entry that stays in the queue after its request has ended. Requests
+// behind it would be delayed until their slack ends, and the queue would grow without bound.
 func TestEveryEndLeavesTheLine(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -60,15 +61,15 @@
 		leaves   time.Duration
 		drains   time.Duration
 	}{
-		{"sent at the end of the slack, and broken", brokenUpstream{}, 0, 0},
-		{"sent at the end of the slack, and not reached", roomyUpstream{}, 0, 0},
+		{"sent at the end of the slack, answer broken", brokenUpstream{}, 0, 0},
+		{"sent at the end of the slack, instance unreachable", roomyUpstream{}, 0, 0},
 		{"the client leaves", roomyUpstream{}, 30 * time.Millisecond, 0},
 		{"the daemon stops", roomyUpstream{}, 0, 30 * time.Millisecond},
 	}
 	for _, c := range cases {
 		synctest.Test(t, func(t *testing.T) {
 			settings := Settings{WaitShare: 0.5, ShareOfConnections: func() float64 { return 1 }}
-			g := New(settings, c.upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), idleDemand{}, quietObserver{})
+			g := New(settings, c.upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), discardDemand{}, quietObserver{})
 			g.SetChooser(fullChooser{})
 			g.SetView(yieldingView())
 			ctx, leave := context.WithCancel(context.Background())
@@ -80,19 +81,19 @@
 				time.AfterFunc(c.drains, g.Drain)
 			}
 			var during atomic.Int64
-			time.AfterFunc(10*time.Millisecond, func() { during.Store(int64(lineCount(g.holds))) })
+			time.AfterFunc(10*time.Millisecond, func() { during.Store(int64(queueCount(g.holds))) })
 			g.Serve(ctx, &Request{Model: "m", Path: "/x/y", RouteHost: "host", Arrived: time.Now()}, &keptReply{})
-			if left := lineCount(g.holds); during.Load() != 1 || left > 0 {
-				t.Errorf("%s: %d lines during the wait, %d after it", c.name, during.Load(), left)
+			if left := queueCount(g.holds); during.Load() != 1 || left > 0 {
+				t.Errorf("%s: %d queues during the wait, %d after it", c.name, during.Load(), left)
 			}
 		})
 	}
 }
 
-// fullAtFirst chooses the only instance, whose batch is full until a moment.
-type fullAtFirst struct{ until time.Time }
+// fullUntilChooser chooses the only instance, whose batch is full until a given time.
+type fullUntilChooser struct{ until time.Time }
 
-func (c fullAtFirst) Choose(_ context.Context, view *fleet.View, service string, _ *balance.Request) *balance.Candidate {
+func (c fullUntilChooser) Choose(_ context.Context, view *fleet.View, service string, _ *balance.Request) *balance.Candidate {
 	candidate := &balance.Candidate{Instance: view.Instances(service)[0], Available: true, Of: 1}
 	if time.Now().Before(c.until) {
 		candidate.Load.Requests = candidate.Instance.Slots
@@ -100,28 +101,28 @@
 	return candidate
 }
 
-// noConnection has no free connection.
-type noConnection struct{ roomyUpstream }
+// noConnectionUpstream is an Upstream without a free connection.
+type noConnectionUpstream struct{ roomyUpstream }
 
-func (noConnection) HasConnection(string, int) bool { return false }
+func (noConnectionUpstream) HasConnection(string, int) bool { return false }
 
-// TestWhoWaitsForAConnectionIsNotInLine guards against a request that finds room and no connection, and keeps those
-// behind it from the room that they could use.
+// TestWhoWaitsForAConnectionIsNotInLine guards against a request that finds room but no connection, and stays in the
+// queue. It would keep the requests behind it from using the room.
 func TestWhoWaitsForAConnectionIsNotInLine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := Settings{WaitShare: 0.5, ShareOfConnections: func() float64 { return 1 }}
-		g := New(settings, noConnection{}, balance.NewTracker(), retry.NewBudget(0.2, 10), idleDemand{}, quietObserver{})
-		g.SetChooser(fullAtFirst{time.Now().Add(30 * time.Millisecond)})
+		g := New(settings, noConnectionUpstream{}, balance.NewTracker(), retry.NewBudget(0.2, 10), discardDemand{}, quietObserver{})
+		g.SetChooser(fullUntilChooser{time.Now().Add(30 * time.Millisecond)})
 		g.SetView(yieldingView())
 		var during, after atomic.Int64
-		time.AfterFunc(10*time.Millisecond, func() { during.Store(int64(lineCount(g.holds))) })
-		time.AfterFunc(100*time.Millisecond, func() { after.Store(int64(lineCount(g.holds))) })
+		time.AfterFunc(10*time.Millisecond, func() { during.Store(int64(queueCount(g.holds))) })
+		time.AfterFunc(100*time.Millisecond, func() { after.Store(int64(queueCount(g.holds))) })
 		reply := &keptReply{}
 		g.Serve(context.Background(), &Request{Model: "m", Path: "/x/y", RouteHost: "host", Arrived: time.Now()}, reply)
 		if during.Load() != 1 || after.Load() != 0 || reply.status != statusUnavailable {
-			t.Errorf("status %d, %d lines while the batch is full, %d after that", reply.status, during.Load(), after.Load())
+			t.Errorf("status %d, %d queues while the batch is full, %d after that", reply.status, during.Load(), after.Load())
 		}
 	})
 }
 
-func (idleDemand) LackingSoftware(_, _, _ string) func() { return func() {} }
+func (discardDemand) LackingSoftware(_, _, _ string) func() { return func() {} }
--- a/gateway/backgroundwait_test.go
+++ b/gateway/backgroundwait_test.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	// urgentTarget and backgroundTarget are the targets of the two routes, backgroundSlack what the second leaves
-	// without a forecast.
+	// urgentTarget and backgroundTarget are the target latencies of the two routes. backgroundSlack is the slack of the
+	// second one without a forecast.
 	urgentTarget     = 500 * time.Millisecond
 	backgroundTarget = 4 * time.Second
 	backgroundSlack  = 3 * time.Second
-	// look is the longest time between two looks of a request that waits.
-	look = 20 * time.Millisecond
+	// maxPollInterval is the maximum time between two checks of a waiting request.
+	maxPollInterval = 20 * time.Millisecond
 )
 
-// mixedConfiguration has an urgent route and one of background requests, "resume".
+// mixedConfiguration has an urgent route and a route of background requests, "resume".
 func mixedConfiguration() *fleet.Configuration {
 	made := configuration()
 	for i := range made.Routes {
@@ -50,38 +50,38 @@
 	return fleet.NewView(mixedConfiguration(), []*fleet.Instance{{ID: "i1", Service: "svc", Slots: slots, Residents: residents}})
 }
 
-// journal is an Observer for several requests at a time.
-type journal struct {
+// eventLog is an Observer that records the events of concurrent requests.
+type eventLog struct {
 	mutex  sync.Mutex
 	events []gateway.Event
 }
 
-func (j *journal) Observe(event gateway.Event) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	j.events = append(j.events, event)
+func (l *eventLog) Observe(event gateway.Event) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.events = append(l.events, event)
 }
 
-// of returns the events with a step and a reason; an empty reason stands for any.
-func (j *journal) of(step gateway.Step, reason gateway.Reason) []gateway.Event {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	return slices.DeleteFunc(slices.Clone(j.events), func(event gateway.Event) bool {
+// matching returns the events with a step and a reason; an empty reason matches any.
+func (l *eventLog) matching(step gateway.Step, reason gateway.Reason) []gateway.Event {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return slices.DeleteFunc(slices.Clone(l.events), func(event gateway.Event) bool {
 		return event.Step != step || reason != "" && event.Reason != reason
 	})
 }
 
-// batchServer is an Upstream of one instance: requests run for a while in a number of places, and wait in the order
-// in which they came while there is none.
+// batchServer is an Upstream with one instance. Requests run for a fixed time in a number of slots, and wait for a free
+// slot in the order of their arrival.
 type batchServer struct {
-	places chan struct{}
-	run    time.Duration
-	mutex  sync.Mutex
-	began  []string
+	slots chan struct{}
+	run   time.Duration
+	mutex sync.Mutex
+	began []string
 }
 
 func newBatchServer(slots int, run time.Duration) *batchServer {
-	return &batchServer{places: make(chan struct{}, slots), run: run}
+	return &batchServer{slots: make(chan struct{}, slots), run: run}
 }
 
 // HasConnection implements gateway.Upstream.
@@ -90,7 +90,7 @@
 // Send implements gateway.Upstream.
 func (s *batchServer) Send(ctx context.Context, outbound *gateway.Outbound) (gateway.Response, error) {
 	select {
-	case s.places <- struct{}{}:
+	case s.slots <- struct{}{}:
 	case <-ctx.Done():
 		return nil, gateway.ErrUnknown.Wrap(ctx.Err())
 	}
@@ -100,17 +100,17 @@
 	return &batchResponse{response: response{answer: answer{status: 200}}, server: s}, nil
 }
 
-// batchResponse is a stream of one event; its place comes free at its end.
+// batchResponse is a stream of one event; its slot is released at its end.
 type batchResponse struct {
 	response
-	server *batchServer
-	begun  bool
-	free   sync.Once
+	server    *batchServer
+	eventSent bool
+	free      sync.Once
 }
 
 func (r *batchResponse) Read(buffer []byte) (int, error) {
-	if !r.begun {
-		r.begun = true
+	if !r.eventSent {
+		r.eventSent = true
 		return copy(buffer, "id: 1\n\n"), nil
 	}
 	time.Sleep(r.server.run)
@@ -118,7 +118,7 @@
 	return 0, io.EOF
 }
 
-func (r *batchResponse) Close() { r.free.Do(func() { <-r.server.places }) }
+func (r *batchResponse) Close() { r.free.Do(func() { <-r.server.slots }) }
 
 func mixedGateway(upstream gateway.Upstream, tracker *balance.Tracker, observer gateway.Observer) *gateway.Gateway {
 	settings := gateway.Settings{RetryAfter: 200 * time.Millisecond, WaitShare: 0.5, ShareOfConnections: func() float64 { return 1 }}
@@ -133,13 +133,13 @@
 	return sent
 }
 
-// TestBurstOfBackgroundRequestsLeavesRoomForUrgentOnes guards against urgent requests that stand behind a burst of
+// TestBurstOfBackgroundRequestsLeavesRoomForUrgentOnes guards against urgent requests that wait behind a burst of
 // background requests at a full server, and against a burst that is not served meanwhile.
 func TestBurstOfBackgroundRequestsLeavesRoomForUrgentOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const burst, urgent, every, run = 40, 30, 100 * time.Millisecond, 200 * time.Millisecond
-		tracker, heard := busyTracker(0), &journal{}
-		g := mixedGateway(newBatchServer(4, run), tracker, heard)
+		tracker, observed := busyTracker(0), &eventLog{}
+		g := mixedGateway(newBatchServer(4, run), tracker, observed)
 		var all sync.WaitGroup
 		serve := func(route string, number int, target time.Duration) {
 			all.Go(func() {
@@ -159,64 +159,64 @@
 			serve("stream", number, urgentTarget)
 		}
 		all.Wait()
-		yielded := heard.of(gateway.StepPaced, gateway.ReasonYields)
+		yielded := observed.matching(gateway.StepPaced, gateway.ReasonYields)
 		if len(yielded) != burst-4 {
 			t.Errorf("%d requests yielded, want %d", len(yielded), burst-4)
 		}
 	})
 }
 
-// TestBackgroundRequestWaits guards against a wait that ends early or late: it goes on while the server is busy, and
-// ends with the slack, the patience of the client, or the load. The forecast is 0.25 s for each request in front.
+// TestBackgroundRequestWaits guards against a wait that ends early or late. It continues while the server is busy, and
+// ends with the slack, the client's timeout, or the load. The forecast is 0.25 s for each preceding request.
 func TestBackgroundRequestWaits(t *testing.T) {
 	cases := []struct {
-		name     string
-		load     balance.Load
-		then     balance.Load
-		thenAt   time.Duration
-		patience time.Duration
-		status   int
-		at       time.Duration
-		until    time.Duration
+		name      string
+		load      balance.Load
+		laterLoad balance.Load
+		laterAt   time.Duration
+		timeout   time.Duration
+		status    int
+		at        time.Duration
+		until     time.Duration
 	}{
-		{"a free place", balance.Load{Requests: 3}, balance.Load{}, 0, 0, 200, 0, 0},
+		{"a free slot", balance.Load{Requests: 3}, balance.Load{}, 0, 0, 200, 0, 0},
 		{"a full batch, until the slack ends", balance.Load{Requests: 4}, balance.Load{}, 0, 0, 200, 2750 * time.Millisecond, 2750 * time.Millisecond},
-		{"a longer line leaves less slack", balance.Load{Requests: 8}, balance.Load{}, 0, 0, 200, 1750 * time.Millisecond, 1750 * time.Millisecond},
-		{"prompts to read", balance.Load{Requests: 1, PromptTokens: 1000}, balance.Load{}, 0, 0, 200, backgroundSlack, backgroundSlack},
-		{"few prompts to read", balance.Load{Requests: 1, PromptTokens: 100}, balance.Load{}, 0, 0, 200, 0, 0},
-		{"room comes", balance.Load{Requests: 4}, balance.Load{Requests: 1}, time.Second, 0, 200, time.Second, time.Second + look},
-		{"the line grows", balance.Load{Requests: 4}, balance.Load{Requests: 10}, time.Second, 0, 200, 1250 * time.Millisecond, 1250 * time.Millisecond},
-		{"the line grows too long", balance.Load{Requests: 4}, balance.Load{Requests: 30}, time.Second, 0, 503, time.Second, time.Second + look},
+		{"a longer queue leaves less slack", balance.Load{Requests: 8}, balance.Load{}, 0, 0, 200, 1750 * time.Millisecond, 1750 * time.Millisecond},
+		{"prompts to process", balance.Load{Requests: 1, PromptTokens: 1000}, balance.Load{}, 0, 0, 200, backgroundSlack, backgroundSlack},
+		{"few prompts to process", balance.Load{Requests: 1, PromptTokens: 100}, balance.Load{}, 0, 0, 200, 0, 0},
+		{"room becomes available", balance.Load{Requests: 4}, balance.Load{Requests: 1}, time.Second, 0, 200, time.Second, time.Second + maxPollInterval},
+		{"the queue grows", balance.Load{Requests: 4}, balance.Load{Requests: 10}, time.Second, 0, 200, 1250 * time.Millisecond, 1250 * time.Millisecond},
+		{"the queue grows too long", balance.Load{Requests: 4}, balance.Load{Requests: 30}, time.Second, 0, 503, time.Second, time.Second + maxPollInterval},
 		{"too late from the start", balance.Load{Requests: 30}, balance.Load{}, 0, 0, 503, 0, 0},
-		{"the client waits for 2 s only", balance.Load{Requests: 4}, balance.Load{}, 0, 2 * time.Second, 200, time.Second, time.Second},
+		{"the client's timeout is 2 s", balance.Load{Requests: 4}, balance.Load{}, 0, 2 * time.Second, 200, time.Second, time.Second},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				tracker, heard, got := busyTracker(0), &journal{}, &client{}
+				tracker, observed, got := busyTracker(0), &eventLog{}, &client{}
 				tracker.SetPeer(time.Now(), "peer", map[string]balance.Load{"i1": c.load})
-				if c.thenAt > 0 {
-					time.AfterFunc(c.thenAt, func() { tracker.SetPeer(time.Now(), "peer", map[string]balance.Load{"i1": c.then}) })
+				if c.laterAt > 0 {
+					time.AfterFunc(c.laterAt, func() { tracker.SetPeer(time.Now(), "peer", map[string]balance.Load{"i1": c.laterLoad}) })
 				}
-				g := mixedGateway(&script{answers: []answer{{status: 200, body: "id: 1\n\n"}}}, tracker, heard)
+				g := mixedGateway(&script{answers: []answer{{status: 200, body: "id: 1\n\n"}}}, tracker, observed)
 				sent := mixedRequest("resume", "r")
-				sent.Patience = c.patience
+				sent.Patience = c.timeout
 				g.Serve(context.Background(), sent, got)
 				took := got.at.Sub(sent.Arrived)
 				if got.status != c.status || took < c.at || took > c.until {
 					t.Errorf("status %d (%s) after %v, want %d from %v to %v", got.status, got.reason, took, c.status, c.at, c.until)
 				}
-				yielded, last := heard.of(gateway.StepPaced, ""), heard.events[len(heard.events)-1]
+				yielded, last := observed.matching(gateway.StepPaced, ""), observed.events[len(observed.events)-1]
 				if len(yielded) != min(1, int(took)) || last.Yielded != took {
-					t.Errorf("told %d times, waited %v, want %v", len(yielded), last.Yielded, took)
+					t.Errorf("%d events, waited %v, want %v", len(yielded), last.Yielded, took)
 				}
 			})
 		})
 	}
 }
 
-// TestWhoDoesNotYield guards against other requests that wait longer than before: at a full batch, those of priority 0
-// do not, and others for 0.3 of their target.
+// TestWhoDoesNotYield guards against other requests that wait longer than without yielding. At a full batch, requests
+// of priority 0 do not wait, and others wait for 0.3 of their target.
 func TestWhoDoesNotYield(t *testing.T) {
 	ranked := func(priority int) *tenant.Tenant {
 		return &tenant.Tenant{Name: "acme", Ranked: true, Priority: priority, Keys: []tenant.Digest{tenant.DigestOf(goodKey)}}
@@ -233,7 +233,7 @@
 		{"priority 0", 0, backgroundTarget, nil, "", 0},
 		{"priority 1", 1, backgroundTarget, nil, "", 1200 * time.Millisecond},
 		{"a target that is not long enough", 2, 1900 * time.Millisecond, nil, "", 570 * time.Millisecond},
-		{"a stream that goes on", 2, backgroundTarget, nil, "7", 1200 * time.Millisecond},
+		{"a stream that is resumed", 2, backgroundTarget, nil, "7", 1200 * time.Millisecond},
 		{"a tenant of priority 0", 2, backgroundTarget, ranked(0), "", 0},
 		{"a tenant of priority 1", 2, backgroundTarget, ranked(1), "", 1200 * time.Millisecond},
 		{"a tenant of priority 3 on a route of priority 1", 1, backgroundTarget, ranked(3), "", 2750 * time.Millisecond},
@@ -255,7 +255,7 @@
 				g := mixedGateway(&script{answers: []answer{{status: 200, body: "id: 8\n\n"}}}, busyTracker(4), silent{})
 				g.SetView(fleet.NewView(made, mixedView(4).Instances("svc")))
 				g.Serve(context.Background(), sent, got)
-				if took := got.at.Sub(sent.Arrived); got.status != 200 || took < c.want || took > c.want+look {
+				if took := got.at.Sub(sent.Arrived); got.status != 200 || took < c.want || took > c.want+maxPollInterval {
 					t.Errorf("status %d after %v, want 200 after %v", got.status, took, c.want)
 				}
 			})
@@ -263,8 +263,8 @@
 	}
 }
 
-// TestHeldRequestsGoInTheOrderOfTheirSlack guards against a request that is overtaken by one with more time, here or
-// as a newcomer, and against one that takes a place which it needs no more.
+// TestHeldRequestsGoInTheOrderOfTheirSlack guards against a request that is overtaken by one with more slack, whether
+// that was waiting or is new. It also guards against a request that occupies a slot which it no longer needs.
 func TestHeldRequestsGoInTheOrderOfTheirSlack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newBatchServer(1, 100*time.Millisecond)
@@ -296,13 +296,14 @@
 	})
 }
 
-// TestHeldRequestsEndWithTheStopAndTheirClients guards against a held request that nobody ends.
+// TestHeldRequestsEndWithTheStopAndTheirClients guards against a waiting request that does not end when the daemon
+// stops or its client leaves.
 func TestHeldRequestsEndWithTheStopAndTheirClients(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// Between two looks.
+		// Between two checks.
 		const leaveAt, drainAt = 110 * time.Millisecond, 210 * time.Millisecond
-		upstream, heard := &script{}, &journal{}
-		g := mixedGateway(upstream, busyTracker(4), heard)
+		upstream, observed := &script{}, &eventLog{}
+		g := mixedGateway(upstream, busyTracker(4), observed)
 		var all sync.WaitGroup
 		ctx, leave := context.WithTimeoutCause(context.Background(), leaveAt, context.Canceled)
 		defer leave()
@@ -315,7 +316,7 @@
 		time.AfterFunc(drainAt, g.Drain)
 		all.Wait()
 		if took := left.at.Sub(begun); !left.aborted || took != leaveAt {
-			t.Errorf("the one whose client left: aborted %v after %v", left.aborted, took)
+			t.Errorf("the request whose client left: aborted %v after %v", left.aborted, took)
 		}
 		for i := range stopped {
 			if took := stopped[i].at.Sub(begun); stopped[i].reason != gateway.ReasonStopping || took != drainAt {
@@ -328,16 +329,17 @@
 	})
 }
 
-// TestNoBackgroundRequestStarves guards against one that is held beyond its slack, whatever urgent requests do: under
-// loads that change at random and stay high, each is sent or refused by then. One after the other, all are sent.
+// TestNoBackgroundRequestStarves guards against a request that waits beyond its slack because of urgent requests. Under
+// loads that change at random and stay high, each request is sent or refused by then. If they arrive one after the
+// other, all are sent.
 func TestNoBackgroundRequestStarves(t *testing.T) {
 	const requests, seeds = 20, 15
 	for _, every := range []time.Duration{50 * time.Millisecond, backgroundTarget} {
 		for seed := range uint64(seeds) {
 			synctest.Test(t, func(t *testing.T) {
-				tracker, heard := busyTracker(4), &journal{}
-				g := mixedGateway(newBatchServer(1000, time.Millisecond), tracker, heard)
-				end := keepBusy(tracker, rand.New(rand.NewPCG(seed, 1)))
+				tracker, observed := busyTracker(4), &eventLog{}
+				g := mixedGateway(newBatchServer(1000, time.Millisecond), tracker, observed)
+				end := reportBusyPeer(tracker, rand.New(rand.NewPCG(seed, 1)))
 				defer end()
 				var all sync.WaitGroup
 				for range requests {
@@ -351,7 +353,7 @@
 					time.Sleep(every)
 				}
 				all.Wait()
-				if sent := len(heard.of(gateway.StepSent, "")); sent == 0 || every == backgroundTarget && sent != requests {
+				if sent := len(observed.matching(gateway.StepSent, "")); sent == 0 || every == backgroundTarget && sent != requests {
 					t.Errorf("seed %d: %d of %d were sent, one each %v", seed, sent, requests, every)
 				}
 			})
@@ -359,19 +361,19 @@
 	}
 }
 
-// keepBusy has another daemon tell of a full batch all the time, with a load that changes, until the function is called.
-func keepBusy(tracker *balance.Tracker, drawn *rand.Rand) func() {
+// reportBusyPeer lets another daemon report a full batch with a changing load, until the returned function is called.
+func reportBusyPeer(tracker *balance.Tracker, random *rand.Rand) func() {
 	ctx, end := context.WithCancel(context.Background())
-	var told sync.WaitGroup
-	told.Go(func() {
+	var reports sync.WaitGroup
+	reports.Go(func() {
 		for ctx.Err() == nil {
-			load := balance.Load{Requests: 4 + drawn.IntN(4), PromptTokens: drawn.IntN(2000)}
+			load := balance.Load{Requests: 4 + random.IntN(4), PromptTokens: random.IntN(2000)}
 			tracker.SetPeer(time.Now(), "peer", map[string]balance.Load{"i1": load})
 			time.Sleep(10 * time.Millisecond)
 		}
 	})
 	return func() {
 		end()
-		told.Wait()
+		reports.Wait()
 	}
 }
--- a/gateway/connections_test.go
+++ b/gateway/connections_test.go
@@ -15,12 +15,12 @@
 	"github.com/wheatweir/wheatweir/gateway"
 )
 
-// longestPause is the longest time between two looks for a connection.
-const longestPause = 20 * time.Millisecond
+// maxCheckInterval is the maximum time between two checks for a connection.
+const maxCheckInterval = 20 * time.Millisecond
 
-// freeAfter says that all connections to an instance are in use for a while from now on.
-func freeAfter(instance string, span time.Duration) map[string]time.Time {
-	return map[string]time.Time{instance: time.Now().Add(span)}
+// connectionsBusyFor returns that all connections to an instance are in use for the given time from now on.
+func connectionsBusyFor(instance string, busy time.Duration) map[string]time.Time {
+	return map[string]time.Time{instance: time.Now().Add(busy)}
 }
 
 // modelRequest is a request for a stream of the model m.
@@ -30,12 +30,12 @@
 	return sent
 }
 
-// TestRequestWaitsForAConnection has all connections to the only instance of a model in use for a
-// while: the request is served there when one is free.
+// TestRequestWaitsForAConnection covers a request while all connections to the only instance of its model are in use.
+// It is served there as soon as one is available.
 func TestRequestWaitsForAConnection(t *testing.T) {
 	const freeAt = 300 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		upstream, observer, got := &script{connectionsFreeAt: freeAfter("i1", freeAt)}, &recorder{}, &client{}
+		upstream, observer, got := &script{connectionsFreeAt: connectionsBusyFor("i1", freeAt)}, &recorder{}, &client{}
 		g := observedGateway(upstream, observer)
 		g.SetView(oneInstance(0))
 		sent := modelRequest("stream")
@@ -43,39 +43,39 @@
 		if got.status != 200 || len(upstream.sent) != 1 {
 			t.Errorf("status %d after %d attempts", got.status, len(upstream.sent))
 		}
-		if took := time.Since(sent.Arrived); took < freeAt || took > freeAt+longestPause {
-			t.Errorf("served after %v, a connection was free after %v", took, freeAt)
+		if took := time.Since(sent.Arrived); took < freeAt || took > freeAt+maxCheckInterval {
+			t.Errorf("served after %v, a connection was available after %v", took, freeAt)
 		}
 		if count := len(observer.events); count > 4 {
-			t.Errorf("%d lines of log for one wait", count)
+			t.Errorf("%d events for one wait", count)
 		}
 	})
 }
 
-// TestRequestIsRefusedWithoutAConnection never has a connection: the client hears why, after the
-// usual wait, and the placement hears nothing, since nothing has to be loaded.
+// TestRequestIsRefusedWithoutAConnection covers a request that never gets a connection. The client receives the reason
+// after the usual wait. The placement receives no demand, since no model has to be loaded.
 func TestRequestIsRefusedWithoutAConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		demand, got := &noDemand{}, &client{}
-		g := newGateway(&script{connectionsFreeAt: freeAfter("i1", time.Hour)}, demand)
+		g := newGateway(&script{connectionsFreeAt: connectionsBusyFor("i1", time.Hour)}, demand)
 		g.SetView(oneInstance(0))
 		sent := modelRequest("stream")
 		g.Serve(context.Background(), sent, got)
 		if got.status != 503 || got.reason != gateway.ReasonNoConnection || got.retryAfter == 0 {
-			t.Errorf("status %d reason %q, come back after %v", got.status, got.reason, got.retryAfter)
+			t.Errorf("status %d reason %q, retry after %v", got.status, got.reason, got.retryAfter)
 		}
 		// Half of the four seconds that clients of this route wait for a first event.
-		if took := time.Since(sent.Arrived); took > 2*time.Second+longestPause {
+		if took := time.Since(sent.Arrived); took > 2*time.Second+maxCheckInterval {
 			t.Errorf("refused after %v", took)
 		}
 		if len(demand.wanted) > 0 {
-			t.Errorf("the placement is told of %v", demand.wanted)
+			t.Errorf("the placement received demand for %v", demand.wanted)
 		}
 	})
 }
 
-// TestRequestThatWaitsForAConnectionEndsAtOnce has its daemon stop, or its client leave, between
-// two looks for a connection.
+// TestRequestThatWaitsForAConnectionEndsAtOnce covers a daemon that stops, or a client that leaves, between two checks
+// for a connection.
 func TestRequestThatWaitsForAConnectionEndsAtOnce(t *testing.T) {
 	const at = 105 * time.Millisecond
 	for name, c := range map[string]struct {
@@ -88,7 +88,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				observer := &recorder{}
-				g := observedGateway(&script{connectionsFreeAt: freeAfter("i1", time.Hour)}, observer)
+				g := observedGateway(&script{connectionsFreeAt: connectionsBusyFor("i1", time.Hour)}, observer)
 				g.SetView(oneInstance(0))
 				ctx, leave := context.WithCancel(context.Background())
 				defer leave()
@@ -106,9 +106,8 @@
 	}
 }
 
-// TestWaitForAConnectionEndsWithItsInstance takes the instance away whose connections are in use,
-// while those of one without the model are too: now the model is missing, and the placement hears
-// of it.
+// TestWaitForAConnectionEndsWithItsInstance removes the instance whose connections are in use, while those of an
+// instance without the model are in use too. The model is then missing, and the placement receives the demand.
 func TestWaitForAConnectionEndsWithItsInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		never := time.Now().Add(time.Hour)
@@ -121,21 +120,21 @@
 		time.AfterFunc(500*time.Millisecond, func() { g.SetView(fleet.NewView(configuration(), []*fleet.Instance{other})) })
 		g.Serve(context.Background(), modelRequest("stream"), got)
 		if got.reason != gateway.ReasonNoModel || len(demand.wanted) != 1 {
-			t.Errorf("reason %q, the placement hears of %v", got.reason, demand.wanted)
+			t.Errorf("reason %q, the placement received demand for %v", got.reason, demand.wanted)
 		}
 	})
 }
 
-// preferring is a Chooser that takes the first instance that is not excluded and counts how often
-// it is asked. Instances after the first one are crowded, or have many requests.
-type preferring struct {
-	asked   int
+// orderedChooser is a Chooser that takes the first instance that is not excluded and counts its choices. Instances
+// after the first one are crowded, or have many requests.
+type orderedChooser struct {
+	choices int
 	crowded bool
 	load    balance.Load
 }
 
-func (p *preferring) Choose(_ context.Context, view *fleet.View, service string, request *balance.Request) *balance.Candidate {
-	p.asked++
+func (c *orderedChooser) Choose(_ context.Context, view *fleet.View, service string, request *balance.Request) *balance.Candidate {
+	c.choices++
 	for at, instance := range view.Instances(service) {
 		if slices.Contains(request.Excluded, instance.ID) {
 			continue
@@ -143,20 +142,20 @@
 		if at == 0 {
 			return &balance.Candidate{Instance: instance, Available: true, Of: 1}
 		}
-		return &balance.Candidate{Instance: instance, Available: true, Of: 1, Crowded: p.crowded, Load: p.load}
+		return &balance.Candidate{Instance: instance, Available: true, Of: 1, Crowded: c.crowded, Load: c.load}
 	}
 	return nil
 }
 
-// TestASecondChoiceDoesNotReplaceOneThatLacksAConnection has a connection to the best instance
-// free after 10 ms, while the next best one is crowded or would begin to answer too late.
+// TestASecondChoiceDoesNotReplaceOneThatLacksAConnection covers a best instance with a connection available after 10
+// ms, while the next best one is crowded or would start to answer too late.
 func TestASecondChoiceDoesNotReplaceOneThatLacksAConnection(t *testing.T) {
-	for name, chooser := range map[string]*preferring{
-		"the other one is crowded": {crowded: true}, "the other one is late": {load: balance.Load{Requests: 100}},
+	for name, chooser := range map[string]*orderedChooser{
+		"the other instance is crowded": {crowded: true}, "the other instance is late": {load: balance.Load{Requests: 100}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				upstream, got := &script{connectionsFreeAt: freeAfter("i1", 10*time.Millisecond)}, &client{}
+				upstream, got := &script{connectionsFreeAt: connectionsBusyFor("i1", 10*time.Millisecond)}, &client{}
 				g := trackedGateway(upstream, &noDemand{}, busyTracker(0))
 				g.SetView(view("m"))
 				g.SetChooser(chooser)
@@ -165,7 +164,7 @@
 				if got.status != 200 || len(upstream.sent) != 1 || upstream.sent[0].Instance.ID != "i1" {
 					t.Fatalf("status %d reason %q, sent %v", got.status, got.reason, upstream.sent)
 				}
-				if took := time.Since(sent.Arrived); took > 10*time.Millisecond+longestPause {
+				if took := time.Since(sent.Arrived); took > 10*time.Millisecond+maxCheckInterval {
 					t.Errorf("served after %v", took)
 				}
 			})
@@ -173,15 +172,15 @@
 	}
 }
 
-// TestAnInstanceThatLackedAConnectionIsTriedLater has another instance decline the request after
-// 300 ms; by then a connection to the first one has been free for long.
+// TestAnInstanceThatLackedAConnectionIsTriedLater covers another instance that declines the request after 300 ms. A
+// connection to the first instance has long been available by then.
 func TestAnInstanceThatLackedAConnectionIsTriedLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		declined := answer{status: 503, declined: true, after: 300 * time.Millisecond}
-		upstream, got := &script{answers: []answer{declined}, connectionsFreeAt: freeAfter("i1", 10*time.Millisecond)}, &client{}
+		upstream, got := &script{answers: []answer{declined}, connectionsFreeAt: connectionsBusyFor("i1", 10*time.Millisecond)}, &client{}
 		g := newGateway(upstream, &noDemand{})
 		g.SetView(view("m"))
-		g.SetChooser(&preferring{})
+		g.SetChooser(&orderedChooser{})
 		g.Serve(context.Background(), modelRequest("stream"), got)
 		if got.status != 200 || len(upstream.sent) != 2 || upstream.sent[1].Instance.ID != "i1" {
 			t.Errorf("status %d reason %q, sent %v", got.status, got.reason, upstream.sent)
@@ -189,49 +188,48 @@
 	})
 }
 
-// TestWaitingForAConnectionAsksLittle counts how often a choice is asked for, which may be a
-// message to another daemon that then counts on the request.
+// TestWaitingForAConnectionAsksLittle bounds the number of choices. Each may be a message to another daemon, which then
+// counts the request as on its way.
 func TestWaitingForAConnectionAsksLittle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		never := time.Now().Add(time.Hour)
-		chooser := &preferring{}
+		chooser := &orderedChooser{}
 		g := newGateway(&script{connectionsFreeAt: map[string]time.Time{"i1": never, "i2": never, "i3": never}}, &noDemand{})
 		g.SetView(view("m"))
 		g.SetChooser(chooser)
 		g.Serve(context.Background(), modelRequest("stream"), &client{})
-		if chooser.asked > 2 {
-			t.Errorf("asked %d times while nothing was free", chooser.asked)
+		if chooser.choices > 2 {
+			t.Errorf("%d choices while no connection was free", chooser.choices)
 		}
 	})
 }
 
-// oneAtATime is an Upstream with a single connection that is in use for a while for each request.
-type oneAtATime struct {
+// singleConnectionUpstream is an Upstream with a single connection that is in use for a fixed time for each request.
+type singleConnectionUpstream struct {
 	script
 	inUse sync.Mutex
 	span  time.Duration
 }
 
-func (o *oneAtATime) HasConnection(string, int) bool {
-	free := o.inUse.TryLock()
+func (u *singleConnectionUpstream) HasConnection(string, int) bool {
+	free := u.inUse.TryLock()
 	if free {
-		o.inUse.Unlock()
+		u.inUse.Unlock()
 	}
 	return free
 }
 
-func (o *oneAtATime) Send(ctx context.Context, outbound *gateway.Outbound) (gateway.Response, error) {
-	if !o.inUse.TryLock() {
+func (u *singleConnectionUpstream) Send(ctx context.Context, outbound *gateway.Outbound) (gateway.Response, error) {
+	if !u.inUse.TryLock() {
 		return nil, gateway.ErrNotSent.Wrap(gateway.ErrNoConnection.New("in use"))
 	}
-	defer o.inUse.Unlock()
-	time.Sleep(o.span)
-	return o.script.Send(ctx, outbound)
+	defer u.inUse.Unlock()
+	time.Sleep(u.span)
+	return u.script.Send(ctx, outbound)
 }
 
-// TestConnectionsAreUsedWhileRequestsWait has a burst in front of a load that one connection can
-// carry: who arrives while others wait takes a connection that is free, so that none lies idle and
-// the burst is over soon.
+// TestConnectionsAreUsedWhileRequestsWait covers a burst before a load that one connection can carry. A request that
+// arrives while others wait takes an available connection, so that none is idle and the burst is served soon.
 func TestConnectionsAreUsedWhileRequestsWait(t *testing.T) {
 	for _, c := range []struct {
 		span, pause time.Duration
@@ -239,7 +237,7 @@
 		t.Run(fmt.Sprint(c.span, " every ", c.pause), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const burst, count = 10, 500
-				g := newGateway(&oneAtATime{span: c.span}, &noDemand{})
+				g := newGateway(&singleConnectionUpstream{span: c.span}, &noDemand{})
 				g.SetView(fleet.NewView(configuration(), []*fleet.Instance{{ID: "i1", Service: "svc", Slots: 400}}))
 				var refused atomic.Int64
 				var group sync.WaitGroup
@@ -266,8 +264,8 @@
 	}
 }
 
-// TestLosingAConnectionToAnotherRequestBlamesNobody has the connection taken between the look
-// and the attempt.
+// TestLosingAConnectionToAnotherRequestBlamesNobody covers a connection that is taken by another request between the
+// check and the attempt. The loss must not count as a failure of the instance.
 func TestLosingAConnectionToAnotherRequestBlamesNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lost := answer{err: gateway.ErrNotSent.Wrap(gateway.ErrNoConnection.New("in use"))}
@@ -283,17 +281,17 @@
 		}
 		for _, attempt := range upstream.sent {
 			if attempt.Instance.ID != "i1" {
-				t.Errorf("sent to %s, which has more to do", attempt.Instance.ID)
+				t.Errorf("sent to %s, which has a higher load", attempt.Instance.ID)
 			}
 		}
-		if took := time.Since(sent.Arrived); took > 4*longestPause {
-			t.Errorf("the instance was left alone for %v", took)
+		if took := time.Since(sent.Arrived); took > 4*maxCheckInterval {
+			t.Errorf("the instance received nothing for %v", took)
 		}
 	})
 }
 
-// TestWaitsOfAllAttemptsTogetherAreBounded has an instance that cannot be reached take some or most of the time with
-// each attempt, and no other one. It guards against requests that wait anew with each attempt.
+// TestWaitsOfAllAttemptsTogetherAreBounded covers a single instance that cannot be reached, where each attempt takes
+// some or most of the time. It guards against requests whose wait starts again with each attempt.
 func TestWaitsOfAllAttemptsTogetherAreBounded(t *testing.T) {
 	// Waits end after half of the four seconds that clients of this route wait for a first event. The second of two
 	// long attempts begins before that, and is the last one.
@@ -314,24 +312,24 @@
 	}
 }
 
-// ejections is an Observer that counts instances that are ejected.
-type ejections struct{ count atomic.Int64 }
+// ejectionCounter is an Observer that counts ejected instances.
+type ejectionCounter struct{ count atomic.Int64 }
 
-func (e *ejections) Observe(event gateway.Event) {
+func (e *ejectionCounter) Observe(event gateway.Event) {
 	if event.Step == gateway.StepEjected {
 		e.count.Add(1)
 	}
 }
 
-// TestTheEndOfTheDaemonIsNotHeldAgainstAnInstance ends a daemon while an instance works on several
-// requests: it must not count as one that fails.
+// TestTheEndOfTheDaemonIsNotHeldAgainstAnInstance ends a daemon while an instance runs several requests. These must not
+// count as failures of the instance.
 func TestTheEndOfTheDaemonIsNotHeldAgainstAnInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const count = 10
-		observer := &ejections{}
+		observer := &ejectionCounter{}
 		g := observedGateway(&script{answers: slices.Repeat([]answer{{status: 200, stall: true}}, count)}, observer)
 		g.SetView(view("m"))
-		g.SetChooser(&preferring{})
+		g.SetChooser(&orderedChooser{})
 		time.AfterFunc(time.Second, g.End)
 		var group sync.WaitGroup
 		for range count {
@@ -345,7 +343,7 @@
 	})
 }
 
-// leavingChooser is a Chooser during whose answer the client leaves.
+// leavingChooser is a Chooser that cancels the client's request during the choice.
 type leavingChooser struct{ leave context.CancelFunc }
 
 func (c leavingChooser) Choose(_ context.Context, view *fleet.View, service string, _ *balance.Request) *balance.Candidate {
@@ -353,8 +351,8 @@
 	return &balance.Candidate{Instance: view.Instances(service)[0], Available: true, Of: 1}
 }
 
-// TestNothingIsSentForAClientThatLeftDuringTheChoice covers a choice that takes a while, as at
-// a dispatcher.
+// TestNothingIsSentForAClientThatLeftDuringTheChoice covers a client that leaves during a choice that takes time, for
+// example at a dispatcher.
 func TestNothingIsSentForAClientThatLeftDuringTheChoice(t *testing.T) {
 	upstream, observer := &script{}, &recorder{}
 	g := observedGateway(upstream, observer)
--- a/gateway/eventstream_test.go
+++ b/gateway/eventstream_test.go
@@ -5,14 +5,15 @@
 	"testing"
 )
 
-// TestScannerKnowsWhereEventsEnd guards against a stream that is cut, or taken for whole, at a place that is inside an event.
+// TestScannerKnowsWhereEventsEnd guards against a stream that is split, or taken for complete, at a position inside an
+// event.
 func TestScannerKnowsWhereEventsEnd(t *testing.T) {
 	cases := []struct {
 		name   string
 		stream string
-		// whole is the part up to the last place between two events.
-		whole  string
-		inside bool
+		// completeEvents is the part before the last boundary between two events.
+		completeEvents string
+		inside         bool
 	}{
 		{"nothing", "", "", false},
 		{"one event", "data: a\n\n", "data: a\n\n", false},
@@ -29,21 +30,21 @@
 	}
 	for _, c := range cases {
 		for size := 1; size <= len(c.stream)+1; size++ {
-			var cutter eventSplitter
-			var whole strings.Builder
-			for rest := c.stream; len(rest) > 0; {
-				piece := rest[:min(size, len(rest))]
-				rest = rest[len(piece):]
-				whole.Write(cutter.completeEvents([]byte(piece)))
+			var splitter eventSplitter
+			var completeEvents strings.Builder
+			for remainder := c.stream; len(remainder) > 0; {
+				piece := remainder[:min(size, len(remainder))]
+				remainder = remainder[len(piece):]
+				completeEvents.Write(splitter.completeEvents([]byte(piece)))
 			}
-			if whole.String() != c.whole || cutter.scanner.inEvent != c.inside || whole.String()+string(cutter.remainder()) != c.stream {
-				t.Errorf("%s, in pieces of %d bytes: %q whole, %q left, inside %v", c.name, size, whole.String(), cutter.remainder(), cutter.scanner.inEvent)
+			if completeEvents.String() != c.completeEvents || splitter.scanner.inEvent != c.inside || completeEvents.String()+string(splitter.remainder()) != c.stream {
+				t.Errorf("%s, in pieces of %d bytes: %q completeEvents, %q left, inside %v", c.name, size, completeEvents.String(), splitter.remainder(), splitter.scanner.inEvent)
 			}
 		}
 	}
 }
 
-// BenchmarkScanner measures what the look for the ends of events adds to each one of 60 bytes.
+// BenchmarkScanner measures the cost of scanning an event of 60 bytes for its end.
 func BenchmarkScanner(b *testing.B) {
 	var scanner eventScanner
 	piece := []byte("id: 17\ndata: " + strings.Repeat("x", 45) + "\n\n")
--- a/gateway/phase_test.go
+++ b/gateway/phase_test.go
@@ -17,8 +17,8 @@
 	return gateway.New(settings, upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), &noDemand{}, observer)
 }
 
-// TestLogTellsWhoEndedARequestAndWhere ends requests in two phases, by their client and by
-// the daemon.
+// TestLogTellsWhoEndedARequestAndWhere ends requests in two phases, by their client and by the daemon. It guards
+// against events with the wrong reason or phase.
 func TestLogTellsWhoEndedARequestAndWhere(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -29,7 +29,7 @@
 	}{
 		{"the client leaves while it waits for a model", "absent", context.Canceled, gateway.ReasonClientGone, gateway.PhaseWaiting},
 		{"the daemon ends while it waits for a model", "absent", drain.ErrStopped.New("test"), gateway.ReasonStopping, gateway.PhaseWaiting},
-		{"the client leaves a silent instance", "m", context.Canceled, gateway.ReasonClientGone, gateway.PhaseAttempt},
+		{"the client leaves before an instance answers", "m", context.Canceled, gateway.ReasonClientGone, gateway.PhaseAttempt},
 		{"the daemon ends before an instance answers", "m", drain.ErrStopped.New("test"), gateway.ReasonStopping, gateway.PhaseAttempt},
 	}
 	for _, c := range cases {
@@ -39,7 +39,7 @@
 				g := observedGateway(&script{answers: []answer{{hang: true}}}, observer)
 				g.SetView(view("m"))
 				ctx, cancel := context.WithCancelCause(context.Background())
-				// Not at a moment at which a waiting request looks again.
+				// Not at a time at which a waiting request checks again.
 				time.AfterFunc(450*time.Millisecond, func() { cancel(c.cause) })
 				began := time.Now()
 				sent := request("stream")
@@ -49,7 +49,7 @@
 					t.Errorf("reason %q in phase %q, want %q in %q", got.Reason, got.Phase, c.reason, c.phase)
 				}
 				if took := time.Since(began); took != 450*time.Millisecond {
-					t.Errorf("told after %v", took)
+					t.Errorf("ended after %v", took)
 				}
 			})
 		})
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -152,8 +152,8 @@
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			if truncated := events.scanner.truncationError(response.Framing(), resumed); truncated != nil {
-				err = truncated
+			if truncationError := events.scanner.truncationError(response.Framing(), resumed); truncationError != nil {
+				err = truncationError
 			}
 		}
 		switch {
--- a/gateway/sampler_test.go
+++ b/gateway/sampler_test.go
@@ -8,7 +8,7 @@
 
 const event = "data: x\n\n"
 
-// TestSampleIsTheLowerQuartile guards against samples that hold the prompts of other requests.
+// TestSampleIsTheLowerQuartile guards against samples that include the prompt processing of other requests.
 func TestSampleIsTheLowerQuartile(t *testing.T) {
 	var s sampler
 	now := time.Unix(1e9, 0)
@@ -20,7 +20,7 @@
 		}
 	}
 	if got, complete := s.finish(); !complete || got != 11*time.Millisecond {
-		t.Errorf("%s, %v", got, complete)
+		t.Errorf("sample %s, complete %v", got, complete)
 	}
 	for i := range eventsPerSample {
 		now = now.Add(5 * time.Millisecond)
@@ -33,7 +33,7 @@
 	}
 }
 
-// TestShortStreamsGiveNoSample guards against samples of fewer than four times.
+// TestShortStreamsGiveNoSample guards against samples of fewer than four gaps.
 func TestShortStreamsGiveNoSample(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	for events := range 7 {
@@ -48,18 +48,19 @@
 	}
 }
 
-// TestEventsReadTogetherShareTheirTime guards against times of zero between events that came together.
+// TestEventsReadTogetherShareTheirTime guards against gaps of zero between events that arrive together.
 func TestEventsReadTogetherShareTheirTime(t *testing.T) {
 	var s sampler
 	now := time.Unix(1e9, 0)
 	s.record(now, []byte(event))
 	s.record(now.Add(40*time.Millisecond), []byte(event+event+event+event))
 	if got, complete := s.finish(); !complete || got != 10*time.Millisecond {
-		t.Errorf("%s, %v", got, complete)
+		t.Errorf("sample %s, complete %v", got, complete)
 	}
 }
 
-// TestEventsAreCountedAcrossPieces guards against events that are missed or counted twice where a read ends in one.
+// TestEventsAreCountedAcrossPieces guards against events that are missed or counted twice where a read ends inside an
+// event.
 func TestEventsAreCountedAcrossPieces(t *testing.T) {
 	text := []byte("id: 1\ndata: a\n\ndata: b\n\n\n\n: comment\n\ndata: c\n\n\ndata: d\n\n")
 	want := bytes.Count(text, eventTerminator)
@@ -77,7 +78,7 @@
 	}
 }
 
-// TestManyEventsAtOnceAreBounded guards against a piece with more events than a sample holds.
+// TestManyEventsAtOnceAreBounded guards against an overflow by a piece with more events than a sample holds.
 func TestManyEventsAtOnceAreBounded(t *testing.T) {
 	var s sampler
 	now := time.Unix(1e9, 0)
@@ -86,11 +87,11 @@
 		t.Error("not complete")
 	}
 	if got, complete := s.finish(); !complete || got != 10*time.Millisecond {
-		t.Errorf("%s, %v", got, complete)
+		t.Errorf("sample %s, complete %v", got, complete)
 	}
 }
 
-// TestSamplerDoesNotAllocate guards against garbage for each event of each stream.
+// TestSamplerDoesNotAllocate guards against allocations for each event of each stream.
 func TestSamplerDoesNotAllocate(t *testing.T) {
 	var s sampler
 	now, piece := time.Unix(1e9, 0), []byte(event)
--- a/gateway/shutdown_test.go
+++ b/gateway/shutdown_test.go
@@ -9,8 +9,9 @@
 	"github.com/wheatweir/wheatweir/gateway"
 )
 
-// TestEveryPhaseEndsWithTheStop stops a daemon while a request is in each phase, in virtual
-// time: requests no longer begin after 200 ms, and the daemon ends after 900 ms.
+// TestEveryPhaseEndsWithTheStop stops a daemon in virtual time while a request is in each phase: the drain begins after
+// 200 ms, and the daemon ends after 900 ms. It guards against requests that outlive the daemon, or that are refused
+// although they may have run.
 func TestEveryPhaseEndsWithTheStop(t *testing.T) {
 	const drainAt, endAt = 200 * time.Millisecond, 900 * time.Millisecond
 	declined := answer{status: 503, declined: true, after: 500 * time.Millisecond}
@@ -31,16 +32,16 @@
 		reason  gateway.Reason
 	}{
 		{"waiting for a model", "stream", "absent", nil, 503, "", false, 0, drainAt, gateway.StepRefused, gateway.ReasonStopping},
-		{"an attempt is declined after requests no longer begin", "unsafe", "", []answer{declined, served}, 503, "", false, 1, 500 * time.Millisecond, gateway.StepRefused, gateway.ReasonStopping},
-		{"an attempt is declined and no other one is left", "once", "", []answer{declined}, 503, "", false, 1, 500 * time.Millisecond, gateway.StepRefused, gateway.ReasonStopping},
+		{"an attempt is declined after the drain began", "unsafe", "", []answer{declined, served}, 503, "", false, 1, 500 * time.Millisecond, gateway.StepRefused, gateway.ReasonStopping},
+		{"an attempt is declined and none is left", "once", "", []answer{declined}, 503, "", false, 1, 500 * time.Millisecond, gateway.StepRefused, gateway.ReasonStopping},
 		{"nothing was sent", "unsafe", "", []answer{notSent, served}, 503, "", false, 1, 500 * time.Millisecond, gateway.StepRefused, gateway.ReasonStopping},
-		{"a safe request that may have run is repeated", "safe", "", []answer{broken, served}, 200, "ok", false, 2, 500 * time.Millisecond, gateway.StepEnded, gateway.ReasonAnswered},
-		{"the instance says nothing", "unsafe", "", []answer{{hang: true}}, 502, "", false, 1, endAt, gateway.StepRefused, gateway.ReasonStopping},
-		{"the instance says nothing about a stream", "stream", "m", []answer{{hang: true}}, 502, "", false, 1, endAt, gateway.StepRefused, gateway.ReasonStopping},
+		{"a safe request that may have run is retried", "safe", "", []answer{broken, served}, 200, "ok", false, 2, 500 * time.Millisecond, gateway.StepEnded, gateway.ReasonAnswered},
+		{"the instance does not answer", "unsafe", "", []answer{{hang: true}}, 502, "", false, 1, endAt, gateway.StepRefused, gateway.ReasonStopping},
+		{"the instance does not answer a stream", "stream", "m", []answer{{hang: true}}, 502, "", false, 1, endAt, gateway.StepRefused, gateway.ReasonStopping},
 		{"a body stops in the middle", "unsafe", "", []answer{{status: 200, body: "part", stall: true}}, 502, "", false, 1, endAt, gateway.StepRefused, gateway.ReasonStopping},
 		{"a stream has no event yet", "stream", "m", []answer{{status: 200, stall: true}}, 502, "", false, 1, endAt, gateway.StepRefused, gateway.ReasonStopping},
 		{"a stream has begun", "stream", "m", []answer{{status: 200, body: "id: 1\n\n", stall: true}}, 200, "id: 1\n\n", true, 1, endAt, gateway.StepBrokenOff, gateway.ReasonStopping},
-		{"a stream that may be resumed breaks off", "resume", "m", []answer{
+		{"a resumable stream is truncated", "resume", "m", []answer{
 			{status: 200, body: "id: 1\n\n", cut: true, after: 500 * time.Millisecond}, {status: 200, body: "id: 2\n\n"},
 		}, 200, "id: 1\n\nid: 2\n\n", false, 2, 500 * time.Millisecond, gateway.StepEnded, gateway.ReasonAnswered},
 	}
@@ -63,18 +64,18 @@
 					t.Errorf("ended after %v, want %v", took, c.at)
 				}
 				if last := observer.events[len(observer.events)-1]; last.Step != c.step || last.Reason != c.reason {
-					t.Errorf("the log says %s %s, want %s %s", last.Step, last.Reason, c.step, c.reason)
+					t.Errorf("last event %s %s, want %s %s", last.Step, last.Reason, c.step, c.reason)
 				}
 				if got.status == 503 && got.retryAfter != gateway.StoppingRetryAfter {
-					t.Errorf("come back after %v, want %v", got.retryAfter, gateway.StoppingRetryAfter)
+					t.Errorf("retry after %v, want %v", got.retryAfter, gateway.StoppingRetryAfter)
 				}
 			})
 		})
 	}
 }
 
-// TestPacedRequestEndsWithTheStop holds a request back, since its only instance has its batch
-// full, until the daemon stops.
+// TestPacedRequestEndsWithTheStop delays a request, since the batch of its only instance is full, until the daemon
+// stops. It guards against a delayed request that does not end then.
 func TestPacedRequestEndsWithTheStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		upstream, observer, got := &script{}, &recorder{}, &client{}
@@ -90,7 +91,7 @@
 			t.Errorf("status %d reason %q phase %q after %d attempts", got.status, last.Reason, last.Phase, len(upstream.sent))
 		}
 		if took := time.Since(sent.Arrived); took > 70*time.Millisecond {
-			t.Errorf("ended %v after the stop, longer than a pause", took-50*time.Millisecond)
+			t.Errorf("ended %v after the stop, longer than the interval between checks", took-50*time.Millisecond)
 		}
 	})
 }
--- a/gateway/streamorigin_test.go
+++ b/gateway/streamorigin_test.go
@@ -23,8 +23,9 @@
 	return fleet.NewView(configuration(), instances)
 }
 
-// TestBrokenStreamGoesOnAtItsVersionOnly guards against a stream that goes on, within one answer, at an instance of another
-// software version than the one that began it, and against a wait for a version that nobody has.
+// TestBrokenStreamGoesOnAtItsVersionOnly guards against a stream that is continued, within one answer, at an instance
+// of another software version than the one that started it. It also guards against a wait for a version that no
+// instance has.
 func TestBrokenStreamGoesOnAtItsVersionOnly(t *testing.T) {
 	cut := answer{status: 200, body: "id: 1\n\n", cut: true}
 	cases := []struct {
@@ -34,11 +35,11 @@
 		aborted  bool
 		sent     int
 	}{
-		{"another of the version", []string{"v1", "v1"}, []answer{cut, {status: 200, body: "id: 2\n\n"}}, false, 2},
-		{"instances that say no version", []string{"", ""}, []answer{cut, {status: 200, body: "id: 2\n\n"}}, false, 2},
-		{"only of another version", []string{"v1", "v2"}, []answer{cut}, true, 1},
-		{"one that says no version", []string{"v1", ""}, []answer{cut}, true, 1},
-		{"broken before its first event", []string{"v1", "v2"}, []answer{{status: 200, cut: true}, {status: 200, body: "id: 1\n\n"}}, false, 2},
+		{"another instance of the version", []string{"v1", "v1"}, []answer{cut, {status: 200, body: "id: 2\n\n"}}, false, 2},
+		{"instances without a version", []string{"", ""}, []answer{cut, {status: 200, body: "id: 2\n\n"}}, false, 2},
+		{"only an instance of another version", []string{"v1", "v2"}, []answer{cut}, true, 1},
+		{"an instance without a version", []string{"v1", ""}, []answer{cut}, true, 1},
+		{"truncated before its first event", []string{"v1", "v2"}, []answer{{status: 200, cut: true}, {status: 200, body: "id: 1\n\n"}}, false, 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -57,43 +58,43 @@
 	}
 }
 
-// knownOrigins are an Origins that knows what began some streams, and keeps what it is told.
-type knownOrigins struct {
+// fixedOrigins is an Origins with fixed origins of some streams, which records the streams that start.
+type fixedOrigins struct {
 	known map[string]gateway.StreamOrigin
 	began []gateway.BegunStream
 }
 
-func (o *knownOrigins) Began(begun gateway.BegunStream) { o.began = append(o.began, begun) }
+func (o *fixedOrigins) Began(begun gateway.BegunStream) { o.began = append(o.began, begun) }
 
-func (o *knownOrigins) Find(_ context.Context, request *gateway.Request, _ *fleet.Route, _ string) (gateway.StreamOrigin, bool) {
+func (o *fixedOrigins) Find(_ context.Context, request *gateway.Request, _ *fleet.Route, _ string) (gateway.StreamOrigin, bool) {
 	found, known := o.known[request.Resumes]
 	return found, known
 }
 
-// TestTakeUps guards against a stream that goes on at another version than the one that began it, or where nobody knows that,
-// and against refusals of requests that take nothing up.
+// TestTakeUps guards against a stream that is resumed at another version than the one that started it, or although that
+// version is unknown. It also guards against refusals of requests that resume nothing.
 func TestTakeUps(t *testing.T) {
 	cases := []struct {
 		name, route, resumes, after string
 		status                      int
-		// software is where it goes; empty for anywhere.
+		// software is the version that the request is sent to; empty for any.
 		software string
 		reason   gateway.Reason
 	}{
 		{"known", "resume", "first", "3", 200, "v2", ""},
-		{"known, of a version that nobody runs", "resume", "old", "3", 503, "", gateway.ReasonNoSoftware},
+		{"known, no instance of the version", "resume", "old", "3", 503, "", gateway.ReasonNoSoftware},
 		{"unknown", "resume", "nobody's", "3", 503, "", gateway.ReasonUnknownOrigin},
-		{"not named", "resume", "", "3", 503, "", gateway.ReasonUnknownOrigin},
-		{"unknown, begins anew", "resume", "nobody's", "", 200, "", ""},
-		{"known, begins anew", "resume", "first", "", 200, "v2", ""},
+		{"without a request ID", "resume", "", "3", 503, "", gateway.ReasonUnknownOrigin},
+		{"unknown, restarted", "resume", "nobody's", "", 200, "", ""},
+		{"known, restarted", "resume", "first", "", 200, "v2", ""},
 		{"a new stream", "resume", "", "", 200, "", ""},
-		{"a route whose streams may not be taken up", "stream", "nobody's", "3", 200, "", ""},
+		{"a route with streams that are not resumable", "stream", "nobody's", "3", 200, "", ""},
 		{"a route without streams", "safe", "nobody's", "3", 200, "", ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				origins := &knownOrigins{known: map[string]gateway.StreamOrigin{"first": {Service: "svc", Software: "v2"}, "old": {Service: "svc", Software: "v0"}}}
+				origins := &fixedOrigins{known: map[string]gateway.StreamOrigin{"first": {Service: "svc", Software: "v2"}, "old": {Service: "svc", Software: "v0"}}}
 				settings := gateway.Settings{RetryAfter: 200 * time.Millisecond, WaitShare: 0.5, ShareOfConnections: func() float64 { return 1 }, Origins: origins}
 				upstream := &script{}
 				g := gateway.New(settings, upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), &noDemand{}, silent{})
@@ -105,10 +106,10 @@
 					t.Fatalf("status %d, reason %q after %v", got.status, got.reason, got.at.Sub(sent.Arrived))
 				}
 				if c.software != "" && upstream.sent[0].Instance.Software != c.software {
-					t.Errorf("went to %s", upstream.sent[0].Instance.Software)
+					t.Errorf("sent to version %q", upstream.sent[0].Instance.Software)
 				}
-				if told := len(origins.began) == 1; told != (c.route == "resume" && c.status == 200) {
-					t.Errorf("told of %+v", origins.began)
+				if recorded := len(origins.began) == 1; recorded != (c.route == "resume" && c.status == 200) {
+					t.Errorf("recorded %+v", origins.began)
 				}
 			})
 		})
--- a/gateway/suspend_test.go
+++ b/gateway/suspend_test.go
@@ -12,9 +12,9 @@
 	"github.com/wheatweir/wheatweir/retry"
 )
 
-// TestSuspendedMachineSendsNothingTooLate covers a request that waits for its model when the machine is
-// suspended. Its client has left when the machine wakes, which the steady clock does not tell: the
-// model that came meanwhile must not run it, with a time that is long over.
+// TestSuspendedMachineSendsNothingTooLate covers a request that waits for its model when the machine is suspended. When
+// the machine resumes, its client has left, which the monotonic clock does not show. The request must not be run by the
+// model that was loaded meanwhile, after its deadline.
 func TestSuspendedMachineSendsNothingTooLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		machine, upstream := clock.NewFake(), &script{}
@@ -34,7 +34,7 @@
 		g.SetView(view("m"))
 		<-done
 		if len(upstream.sent) > 0 {
-			t.Errorf("sent with %v left, 5 s after its time was over", upstream.left[0])
+			t.Errorf("sent with %v left, 5 s after its deadline", upstream.left[0])
 		}
 		if reply.status != 503 {
 			t.Errorf("status %d, want 503: it has not run", reply.status)
@@ -42,8 +42,8 @@
 	})
 }
 
-// TestRequestsAfterASleepHaveTheirWholeTime covers requests that arrive once the machine has woken: their
-// deadlines count from now on.
+// TestRequestsAfterASleepHaveTheirWholeTime covers requests that arrive after the machine has resumed: their deadlines
+// count from their arrival.
 func TestRequestsAfterASleepHaveTheirWholeTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		machine := clock.NewFake()
@@ -56,7 +56,7 @@
 		sent.Arrived = machine.Now()
 		g.Serve(context.Background(), sent, reply)
 		if took := time.Since(began); took != 5*time.Second || upstream.left[0] != 5*time.Second {
-			t.Errorf("given up after %v, and the instance had %v, want the route's 5 s", took, upstream.left[0])
+			t.Errorf("timed out after %v, and the instance had %v, want the route's 5 s", took, upstream.left[0])
 		}
 	})
 }
