--- a/gateway/backgroundwait_test.go
+++ b/gateway/backgroundwait_test.go
@@ -74,14 +74,14 @@
 // batchServer is an Upstream with one instance. Requests run for a fixed time in a number of slots, and wait for a free
 // slot in the order of their arrival.
 type batchServer struct {
-	slots chan struct{}
-	run   time.Duration
-	mutex sync.Mutex
-	began []string
+	running chan struct{}
+	run     time.Duration
+	mutex   sync.Mutex
+	began   []string
 }
 
 func newBatchServer(slots int, run time.Duration) *batchServer {
-	return &batchServer{slots: make(chan struct{}, slots), run: run}
+	return &batchServer{running: make(chan struct{}, slots), run: run}
 }
 
 // HasConnection implements gateway.Upstream.
@@ -90,7 +90,7 @@
 // Send implements gateway.Upstream.
 func (s *batchServer) Send(ctx context.Context, outbound *gateway.Outbound) (gateway.Response, error) {
 	select {
-	case s.slots <- struct{}{}:
+	case s.running <- struct{}{}:
 	case <-ctx.Done():
 		return nil, gateway.ErrUnknown.Wrap(ctx.Err())
 	}
@@ -118,7 +118,7 @@
 	return 0, io.EOF
 }
 
-func (r *batchResponse) Close() { r.free.Do(func() { <-r.server.slots }) }
+func (r *batchResponse) Close() { r.free.Do(func() { <-r.server.running }) }
 
 func mixedGateway(upstream gateway.Upstream, tracker *balance.Tracker, observer gateway.Observer) *gateway.Gateway {
 	settings := gateway.Settings{RetryAfter: 200 * time.Millisecond, WaitShare: 0.5, ShareOfConnections: func() float64 { return 1 }}
--- a/gateway/eventstream_test.go
+++ b/gateway/eventstream_test.go
@@ -38,7 +38,7 @@
 				completeEvents.Write(splitter.completeEvents([]byte(piece)))
 			}
 			if completeEvents.String() != c.completeEvents || splitter.scanner.inEvent != c.inside || completeEvents.String()+string(splitter.remainder()) != c.stream {
-				t.Errorf("%s, in pieces of %d bytes: %q completeEvents, %q left, inside %v", c.name, size, completeEvents.String(), splitter.remainder(), splitter.scanner.inEvent)
+				t.Errorf("%s, in pieces of %d bytes: %q complete, %q left, inside an event %v", c.name, size, completeEvents.String(), splitter.remainder(), splitter.scanner.inEvent)
 			}
 		}
 	}
