--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -1,8 +1,8 @@
-// Package quota holds subjects to limits that count over all daemons of a fleet: tenants, and
-// instances that name how much they take. One daemon, the owner, keeps the token bucket of each
-// subject; the others ask it before they send a request to an instance. While the owner does not
-// answer, the next daemon in its order stands in with a part of the limit, and a daemon that
-// reaches neither has its own small part. The package does no I/O and reads no clock.
+// Package quota enforces rate limits of subjects over a whole fleet of daemons. A subject is a tenant, or an instance
+// that states a limit of its own. One daemon, the owner, holds the token bucket of a subject. The others query it
+// before they send a request to an instance. While the owner does not answer, the next daemon in the subject's order
+// stands in with a part of the limit. A daemon that reaches neither grants a small part of its own. The package does
+// no I/O and reads no clock.
 package quota
 
 import "time"
@@ -11,78 +11,78 @@
 type Limit struct {
 	// PerSecond is the rate, in units.
 	PerSecond float64 `msgpack:"s,omitempty"`
-	// Burst is how many units more may be used at once after a rest.
+	// Burst is how many units may be used at once, beyond the rate, after an idle period.
 	Burst float64 `msgpack:"b,omitempty"`
-	// Slots says that a unit is given back when the use ends: Burst and one more may be in use at once, and PerSecond
-	// only makes up for units that are never given back.
+	// Slots says that a unit is returned when the use ends: Burst and one more may be in use at once, and PerSecond
+	// only replaces units that are never returned.
 	Slots bool `msgpack:"k,omitempty"`
 }
 
-// most is the level that a bucket may have from which a part of the limit is given out.
-func (l *Limit) most(part float64) float64 {
+// maxLevel is the maximum level of a bucket that grants a part of the limit.
+func (l *Limit) maxLevel(part float64) float64 {
 	if l.Slots {
 		return l.Burst
 	}
 	return l.Burst * part
 }
 
-// least is the level below which nothing is given out of it.
-func (l *Limit) least(part float64) float64 { return l.most(part) - l.Burst*part }
+// minLevel is the level below which a bucket that grants a part of the limit grants nothing.
+func (l *Limit) minLevel(part float64) float64 { return l.maxLevel(part) - l.Burst*part }
 
-// Role is by which right a daemon gives out a limit.
+// Role is the authority by which a daemon grants a limit.
 type Role uint8
 
 // Roles.
 const (
-	// RoleOwner gives out all that the daemons that are heard may use.
+	// RoleOwner grants the whole part of the limit that belongs to the reachable daemons.
 	RoleOwner Role = iota
-	// RoleStandIn gives out StandInPart of that for an owner that does not answer some daemon:
-	// both may be giving out at the same time.
+	// RoleStandIn grants StandInPart of that for an owner that does not answer some daemon.
+	// Both may be granting at the same time.
 	RoleStandIn
-	// RoleAlone gives out what one daemon may use by itself.
+	// RoleAlone grants what one daemon may use without the others.
 	RoleAlone
 )
 
 const (
-	// StandInPart is the part of the limit that a stand-in gives out. An owner that is gone is
-	// found out within about a second and a half; this much of a limit for so long stays within the
-	// tenth and the slack by which platforms let limits be passed, while most subjects use half
-	// of theirs.
+	// StandInPart is the part of the limit that a stand-in grants. The loss of an owner is
+	// detected within about a second and a half. This part of a limit for that time stays within
+	// the excess of a tenth and the slack that platforms allow, as most subjects use half of
+	// their limits.
 	StandInPart = 0.4
-	// AlonePart is the part of its even share that a daemon alone uses, so that a fleet that
-	// falls apart gives out less than one limit.
+	// AlonePart is the part of its even share that a daemon grants without the others. A fleet
+	// that is fully partitioned so grants less than one limit in total.
 	AlonePart = 0.8
 )
 
-// bucket is a token bucket. It may run into debt by one request: if it had to hold a whole
-// request, large ones would go out empty behind small ones while a subject is at its limit.
+// bucket is a token bucket. Its level may become negative by one request: if it had to cover a
+// whole request, small requests would starve large ones while a subject is at its limit.
 type bucket struct {
-	level float64
-	at    time.Time
-	role  Role
+	level     float64
+	updatedAt time.Time
+	role      Role
 }
 
-// fill brings the level up to the present. Part is the part of the limit that is given out.
+// fill adds the tokens since the last update. Part is the part of the limit that is granted.
 func (b *bucket) fill(now time.Time, limit *Limit, part float64) {
-	if now.After(b.at) {
-		b.level += now.Sub(b.at).Seconds() * limit.PerSecond * part
-		b.at = now
+	if now.After(b.updatedAt) {
+		b.level += now.Sub(b.updatedAt).Seconds() * limit.PerSecond * part
+		b.updatedAt = now
 	}
-	b.level = min(b.level, limit.most(part))
+	b.level = min(b.level, limit.maxLevel(part))
 }
 
-// lower takes out what is above a level: another daemon may have given out the same meanwhile.
-func (b *bucket) lower(now time.Time, level float64) {
+// capLevel removes the tokens above a level, which another daemon may have granted in the meantime.
+func (b *bucket) capLevel(now time.Time, level float64) {
 	b.level = min(b.level, level)
-	b.at = now
+	b.updatedAt = now
 }
 
-// take takes the cost of one request. If there is nothing left, wait is until there is. What will be there
-// within a span is given out already now, to be used then and not before.
+// take takes the cost of one request. If the bucket is empty, wait is the time until it is not. Tokens that arrive
+// within the given duration are granted in advance, for use after the wait and not before.
 func (b *bucket) take(now time.Time, limit *Limit, part, cost float64, within time.Duration) (granted bool, wait time.Duration) {
 	b.fill(now, limit, part)
-	if least := limit.least(part); b.level < least {
-		wait = untilFilled(least-b.level, limit, part)
+	if minLevel := limit.minLevel(part); b.level < minLevel {
+		wait = refillTime(minLevel-b.level, limit, part)
 	}
 	if wait > within {
 		return false, wait
@@ -91,12 +91,12 @@
 	return true, wait
 }
 
-// takeWhole takes the cost of one request if the bucket holds all of it: many daemons that each
-// ran into debt would pass the limit together.
-func (b *bucket) takeWhole(now time.Time, limit *Limit, part, cost float64) bool {
-	roomy := *limit
-	roomy.Burst = max(limit.Burst, cost/part)
-	b.fill(now, &roomy, part)
+// takeIfCovered takes the cost of one request if the bucket covers all of it. Many daemons with
+// negative levels would exceed the limit together.
+func (b *bucket) takeIfCovered(now time.Time, limit *Limit, part, cost float64) bool {
+	enlarged := *limit
+	enlarged.Burst = max(limit.Burst, cost/part)
+	b.fill(now, &enlarged, part)
 	if b.level < cost {
 		return false
 	}
@@ -104,19 +104,19 @@
 	return true
 }
 
-func (b *bucket) giveBack(now time.Time, limit *Limit, part, cost float64) {
+func (b *bucket) refund(now time.Time, limit *Limit, part, cost float64) {
 	b.fill(now, limit, part)
-	b.level = min(b.level+cost, limit.most(part))
+	b.level = min(b.level+cost, limit.maxLevel(part))
 }
 
-// untilFilled is how long a lack lasts.
-func untilFilled(lack float64, limit *Limit, part float64) time.Duration {
+// refillTime is how long it takes to refill the missing tokens.
+func refillTime(missing float64, limit *Limit, part float64) time.Duration {
 	rate := limit.PerSecond * part
 	if rate <= 0 {
-		return longestWait
+		return maxReportedWait
 	}
-	return min(time.Duration(lack/rate*float64(time.Second)), longestWait)
+	return min(time.Duration(missing/rate*float64(time.Second)), maxReportedWait)
 }
 
-// longestWait bounds what is told of when there will be something left.
-const longestWait = time.Minute
+// maxReportedWait bounds the wait that is reported to callers.
+const maxReportedWait = time.Minute
--- /dev/null
+++ b/quota/buckets.go
@@ -0,0 +1,221 @@
+package quota
+
+import (
+	"sync"
+	"time"
+)
+
+// Answer is the response of a Keeper to a request for use.
+type Answer struct {
+	Granted bool
+	// Wait is the time until tokens are available, or if granted, until the grant may be used.
+	Wait time.Duration
+	// Owner is the daemon to query instead; empty if the answer is final.
+	Owner string
+}
+
+// AllowanceSpan is how long a grant of Take may be used, or returned. A limit applies to the moments at which instances
+// begin to work, so grants from long before must not arrive together: with half a second, at most half a second of a
+// subject's rate is added to its limit.
+const AllowanceSpan = 500 * time.Millisecond
+
+// TurnSpan is how far ahead turns should be granted. A turn is a grant for a later moment. Turns that an owner has
+// granted before it is lost are added to what the next owner grants.
+const TurnSpan = 500 * time.Millisecond
+
+// rivalClaim records that another daemon claims to own a subject's limit.
+type rivalClaim struct {
+	claimant  string
+	expiresAt time.Time
+}
+
+const (
+	// claimTTL is how long a claim is valid by itself. By its end the membership of all daemons
+	// includes the claimant, and the order of the subject decides.
+	claimTTL = 3 * time.Second
+	// stallThreshold is how long a process may be stalled before others take over what it owns.
+	// Ticks are late by up to a tenth of a second when the processor is overcommitted.
+	stallThreshold = 500 * time.Millisecond
+	// standInIdleTTL is how long a stand-in without requests retains the level of a bucket.
+	standInIdleTTL = time.Second
+)
+
+// Keeper holds the buckets from which this daemon grants limits. It is safe for concurrent use.
+type Keeper struct {
+	mutex   sync.Mutex
+	buckets map[string]*bucket
+	// localBuckets are for the time in which no owner or stand-in can be reached.
+	localBuckets map[string]*bucket
+	rivalClaims  map[string]rivalClaim
+	// aliveCount is the number of reachable daemons at the last call of Own.
+	aliveCount int
+	// lastActiveAt is when the process was last observed to run. stalled says that it did not run for a while
+	// before that, and that Tick has not reported it yet.
+	lastActiveAt time.Time
+	stalled      bool
+	// resumedAt is when the process was first observed to run after its last stall.
+	resumedAt time.Time
+	// previous holds the snapshots of the fleet that were replaced within ownershipDelay before the last replacement.
+	previous []previousFleet
+	// initialLevel returns the maximum level at which a bucket begins when this daemon begins to grant from it.
+	initialLevel func(name string) float64
+}
+
+// NewKeeper returns a Keeper without buckets.
+func NewKeeper() *Keeper { return NewKeeperInDebt(0) }
+
+// NewKeeperInDebt returns a Keeper for small limits. A daemon that begins to grant a limit assumes that the previous
+// owner granted this many units a moment ago. In a fleet that becomes partitioned many daemons begin one after the
+// other.
+func NewKeeperInDebt(debt float64) *Keeper {
+	return NewKeeperFrom(func(string) float64 { return -debt })
+}
+
+// NewKeeperFrom returns a Keeper that calls a function for the level at which it begins to grant a limit. The function
+// must not call the Keeper.
+func NewKeeperFrom(initialLevel func(name string) float64) *Keeper {
+	return &Keeper{
+		buckets: map[string]*bucket{}, localBuckets: map[string]*bucket{}, rivalClaims: map[string]rivalClaim{},
+		initialLevel: initialLevel,
+	}
+}
+
+// Own records the subjects whose limits this daemon grants as their owner, and returns those that
+// it has to claim. These are the subjects that it did not own before, and all of them if more
+// daemons are reachable than before: one of those may own them too, as after a network partition
+// heals. The buckets of new subjects are empty, as what the previous owner granted a moment ago
+// counts in the same window.
+func (k *Keeper) Own(now time.Time, fleet *Fleet, names []string) (claims []string) {
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
+	k.detectStall(now)
+	grown := fleet.Heard > k.aliveCount
+	k.aliveCount = fleet.Heard
+	for _, name := range names {
+		if existing := k.buckets[name]; existing == nil || existing.role != RoleOwner || grown {
+			claims = append(claims, name)
+		}
+		k.bucket(now, name, RoleOwner)
+	}
+	return claims
+}
+
+// Tick records that this process runs, and must be called a few times in each stallThreshold. It
+// returns the subjects that have to be claimed again because the process was stalled: other
+// daemons may have granted their limits in the meantime.
+func (k *Keeper) Tick(now time.Time) (claims []string) {
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
+	k.detectStall(now)
+	if !k.stalled {
+		return nil
+	}
+	k.stalled = false
+	for name, existing := range k.buckets {
+		if existing.role == RoleOwner {
+			claims = append(claims, name)
+		}
+	}
+	return claims
+}
+
+// detectStall empties all buckets after a stall, at the first call of any method: other daemons
+// may have granted the tokens that accumulated in the meantime.
+func (k *Keeper) detectStall(now time.Time) {
+	if !k.lastActiveAt.IsZero() && now.Sub(k.lastActiveAt) > stallThreshold {
+		k.stalled, k.resumedAt = true, now
+		for name, existing := range k.buckets {
+			existing.capLevel(now, k.initialLevel(name))
+		}
+	}
+	k.lastActiveAt = now
+}
+
+// Yield records that another daemon, which precedes this one, claims a subject's limit.
+func (k *Keeper) Yield(now time.Time, name, claimant string) {
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
+	k.rivalClaims[name] = rivalClaim{claimant: claimant, expiresAt: now.Add(claimTTL)}
+}
+
+// activeClaimant returns the daemon that grants a subject's limit instead of this one, or an empty
+// string. A claim ends once the local snapshot of the fleet names its claimant as the owner.
+func (k *Keeper) activeClaimant(now time.Time, fleet *Fleet, name string) string {
+	claim, found := k.rivalClaims[name]
+	if !found {
+		return ""
+	}
+	if now.After(claim.expiresAt) || fleet.owner(name) == claim.claimant {
+		delete(k.rivalClaims, name)
+		return ""
+	}
+	return claim.claimant
+}
+
+// Forget drops the buckets and claims of removed subjects.
+func (k *Keeper) Forget(present func(name string) bool) {
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
+	for _, buckets := range []map[string]*bucket{k.buckets, k.localBuckets} {
+		for name := range buckets {
+			if !present(name) {
+				delete(buckets, name)
+			}
+		}
+	}
+	for name := range k.rivalClaims {
+		if !present(name) {
+			delete(k.rivalClaims, name)
+		}
+	}
+}
+
+// bucket returns the bucket of a subject for a role. It begins at the initial level if it is new, if the role changes,
+// or if a stand-in has not used it for standInIdleTTL.
+func (k *Keeper) bucket(now time.Time, name string, role Role) *bucket {
+	existing := k.buckets[name]
+	if existing == nil {
+		existing = &bucket{updatedAt: now, role: role, level: k.initialLevel(name)}
+		k.buckets[name] = existing
+	}
+	if existing.role != role || role == RoleStandIn && now.Sub(existing.updatedAt) > standInIdleTTL {
+		existing.role = role
+		existing.capLevel(now, k.initialLevel(name))
+	}
+	return existing
+}
+
+// Take takes the cost of one request of a subject, as its owner or a stand-in by the local snapshot
+// of the fleet. Within is how long the request may wait for its turn.
+func (k *Keeper) Take(now time.Time, fleet *Fleet, name string, limit *Limit, cost float64, within time.Duration) Answer {
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
+	k.detectStall(now)
+	if owner := k.activeClaimant(now, fleet, name); owner != "" {
+		return Answer{Owner: owner}
+	}
+	role := fleet.RoleOf(name)
+	granted, wait := k.bucket(now, name, role).take(now, limit, fleet.partOf(role), cost, within)
+	return Answer{Granted: granted, Wait: wait}
+}
+
+// Return refunds what Take granted a moment ago and was not used.
+func (k *Keeper) Return(now time.Time, fleet *Fleet, name string, limit *Limit, cost float64) {
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
+	k.detectStall(now)
+	role := fleet.RoleOf(name)
+	k.bucket(now, name, role).refund(now, limit, fleet.partOf(role), cost)
+}
+
+// TakeAlone takes the cost of one request from what this daemon may use without the others.
+func (k *Keeper) TakeAlone(now time.Time, fleet *Fleet, name string, limit *Limit, cost float64) bool {
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
+	existing := k.localBuckets[name]
+	if existing == nil {
+		existing = &bucket{updatedAt: now, role: RoleAlone}
+		k.localBuckets[name] = existing
+	}
+	return existing.takeIfCovered(now, limit, AlonePart/float64(max(1, fleet.Daemons)), cost)
+}
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -22,7 +22,7 @@
 		fleet := NewFleet("d0", members, 3, time.Minute)
 		for i := range 5 {
 			name := fmt.Sprint("tenant-", i)
-			if want := firstOf(members, name, mostOwners); !slices.Equal(fleet.Owners(name), want) {
+			if want := topRanked(members, name, maxOwners); !slices.Equal(fleet.Owners(name), want) {
 				t.Fatalf("%s is owned by %v, the first are %v", name, fleet.Owners(name), want)
 			}
 		}
@@ -84,7 +84,7 @@
 		{"half is not heard", known(member.Member{}, member.Member{State: member.Suspect}), 1, 0, 0.5, 2, false},
 		{"one has ended as planned", known(member.Member{}, ended), 0, 0, 1, 1, false},
 		{"the only one there is", known(member.Member{}), 0, 0, 1, 1, false},
-		{"one that has heard nobody yet", known(member.Member{}), 3, time.Second, 1.0 / lonelyFleet, lonelyFleet, true},
+		{"one that has heard nobody yet", known(member.Member{}), 3, time.Second, 1.0 / assumedDaemons, assumedDaemons, true},
 		{"one that has heard nobody for long", known(member.Member{}), 3, time.Minute, 0.25, 4, true},
 	}
 	for _, c := range cases {
--- a/quota/tenure.go
+++ b/quota/ownership.go
@@ -3,7 +3,7 @@
 import "time"
 
 // ownershipDelay is how long a daemon must have owned a limit, by its own snapshots of the fleet, before TakeAsOwner
-// grants any of it. It leaves the previous owner time to be detected, and a starting fleet time to form.
+// grants any of it. It allows for the time to detect the previous owner, and for a starting fleet to form.
 const ownershipDelay = time.Second
 
 // previousFleet is a snapshot of the fleet that was replaced by a newer one.
@@ -16,17 +16,18 @@
 func (k *Keeper) FleetReplaced(now time.Time, replaced *Fleet) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	kept := k.previous[:0]
+	retained := k.previous[:0]
 	for _, previous := range k.previous {
 		if now.Sub(previous.replacedAt) < ownershipDelay {
-			kept = append(kept, previous)
+			retained = append(retained, previous)
 		}
 	}
-	k.previous = append(kept, previousFleet{replaced, now})
+	k.previous = append(retained, previousFleet{replaced, now})
 }
 
-// TakeAsOwner takes the cost of one request of a limit that only its owner may give out. Unlike with Take, a stand-in
-// names the owner that it hears, and a daemon denies requests until it has owned the limit for ownershipDelay.
+// TakeAsOwner takes the cost of one request of a limit that only its owner may grant. Unlike with Take, a stand-in
+// redirects to the owner that it can reach, and a daemon denies requests until it has owned the limit for
+// ownershipDelay.
 func (k *Keeper) TakeAsOwner(
 	now time.Time, fleet *Fleet, name string, limit *Limit, cost float64, within time.Duration,
 ) Answer {
@@ -44,11 +45,11 @@
 }
 
 // ownershipWait returns how long this daemon has to wait until it has owned a limit for ownershipDelay. The delay
-// starts anew after a standstill, and does not start while the daemon hears no other one or its fleet forms.
+// starts again after a stall, and does not start while the daemon reaches no other one or its fleet forms.
 func (k *Keeper) ownershipWait(now time.Time, fleet *Fleet, name string) time.Duration {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.awake(now)
+	k.detectStall(now)
 	if fleet.Forming || fleet.Lonely {
 		return ownershipDelay
 	}
--- a/quota/world_test.go
+++ b/quota/simulation_test.go
@@ -139,7 +139,7 @@
 
 // refresh has a daemon that has started not long ago look again: its fleet may have formed.
 func (w *world) refresh(n *node) {
-	if n.seen.steps > 1 && w.now.Sub(n.seen.started) < lonelySpan {
+	if n.seen.growthSteps > 1 && w.now.Sub(n.seen.started) < discoveryWindow {
 		w.look(n)
 	}
 }
@@ -317,9 +317,9 @@
 
 // lost is the part of what one bucket for the whole fleet would have let through that was refused.
 func (w *world) lost() float64 {
-	central := &bucket{at: w.now.Add(-time.Hour), level: w.limit.Burst}
+	central := &bucket{updatedAt: w.now.Add(-time.Hour), level: w.limit.Burst}
 	if len(w.offered) > 0 {
-		central.at = w.offered[0].at
+		central.updatedAt = w.offered[0].at
 	}
 	ideal, got := 0.0, 0.0
 	for _, one := range w.offered {
--- a/quota/slots_test.go
+++ b/quota/slots_test.go
@@ -28,9 +28,9 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			known := &bucket{at: now, level: limit.Burst - float64(c.inUse)}
+			known := &bucket{updatedAt: now, level: limit.Burst - float64(c.inUse)}
 			for range c.back {
-				known.giveBack(now, &limit, c.part, 1)
+				known.refund(now, &limit, c.part, 1)
 			}
 			given := 0
 			for {
@@ -50,7 +50,7 @@
 func TestLostSlotsComeBack(t *testing.T) {
 	limit := Limit{PerSecond: 0.25, Burst: 7, Slots: true}
 	now := time.Unix(1000, 0)
-	known := &bucket{at: now, level: -1}
+	known := &bucket{updatedAt: now, level: -1}
 	if granted, wait := known.take(now, &limit, 1, 1, 0); granted || wait != 4*time.Second {
 		t.Errorf("granted %t, wait %v", granted, wait)
 	}
