--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -57,16 +57,17 @@
 // bucket is a token bucket. Its level may become negative by one request: if it had to cover a
 // whole request, small requests would starve large ones while a subject is at its limit.
 type bucket struct {
-	level     float64
-	updatedAt time.Time
-	role      Role
+	level float64
+	// at is when level was last updated.
+	at   time.Time
+	role Role
 }
 
 // fill adds the tokens since the last update. Part is the part of the limit that is granted.
 func (b *bucket) fill(now time.Time, limit *Limit, part float64) {
-	if now.After(b.updatedAt) {
-		b.level += now.Sub(b.updatedAt).Seconds() * limit.PerSecond * part
-		b.updatedAt = now
+	if now.After(b.at) {
+		b.level += now.Sub(b.at).Seconds() * limit.PerSecond * part
+		b.at = now
 	}
 	b.level = min(b.level, limit.maxLevel(part))
 }
@@ -74,7 +75,7 @@
 // capLevel removes the tokens above a level, which another daemon may have granted in the meantime.
 func (b *bucket) capLevel(now time.Time, level float64) {
 	b.level = min(b.level, level)
-	b.updatedAt = now
+	b.at = now
 }
 
 // take takes the cost of one request. If the bucket is empty, wait is the time until it is not. Tokens that arrive
--- a/quota/buckets.go
+++ b/quota/buckets.go
@@ -175,10 +175,10 @@
 func (k *Keeper) bucket(now time.Time, name string, role Role) *bucket {
 	existing := k.buckets[name]
 	if existing == nil {
-		existing = &bucket{updatedAt: now, role: role, level: k.initialLevel(name)}
+		existing = &bucket{at: now, role: role, level: k.initialLevel(name)}
 		k.buckets[name] = existing
 	}
-	if existing.role != role || role == RoleStandIn && now.Sub(existing.updatedAt) > standInIdleTTL {
+	if existing.role != role || role == RoleStandIn && now.Sub(existing.at) > standInIdleTTL {
 		existing.role = role
 		existing.capLevel(now, k.initialLevel(name))
 	}
@@ -214,7 +214,7 @@
 	defer k.mutex.Unlock()
 	existing := k.localBuckets[name]
 	if existing == nil {
-		existing = &bucket{updatedAt: now, role: RoleAlone}
+		existing = &bucket{at: now, role: RoleAlone}
 		k.localBuckets[name] = existing
 	}
 	return existing.takeIfCovered(now, limit, AlonePart/float64(max(1, fleet.Daemons)), cost)
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -11,8 +11,8 @@
 	"github.com/wheatweir/wheatweir/member"
 )
 
-// TestOwnersAreTheFirstOfAll holds the owners, which are chosen among the strongest machines only,
-// against the order of all.
+// TestOwnersAreTheFirstOfAll compares the owners, which are chosen among the members of the largest
+// weights only, with the order of all members.
 func TestOwnersAreTheFirstOfAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var members []member.Member
@@ -23,27 +23,27 @@
 		for i := range 5 {
 			name := fmt.Sprint("tenant-", i)
 			if want := topRanked(members, name, maxOwners); !slices.Equal(fleet.Owners(name), want) {
-				t.Fatalf("%s is owned by %v, the first are %v", name, fleet.Owners(name), want)
+				t.Fatalf("owners of %s are %v, the first of all members are %v", name, fleet.Owners(name), want)
 			}
 		}
 	})
 }
 
-// TestEqualSnapshots has one daemon of three change its state: only that makes another snapshot.
+// TestEqualSnapshots changes the state of one daemon of three: only that makes the snapshots differ.
 func TestEqualSnapshots(t *testing.T) {
 	members := []member.Member{{Name: "d0"}, {Name: "d1"}, {Name: "d2"}}
 	before := NewFleet("d0", members, 3, time.Minute)
 	if !before.Equal(NewFleet("d0", members, 3, time.Minute)) {
-		t.Error("the same daemons make another snapshot")
+		t.Error("snapshots of the same members differ")
 	}
 	members[2].State = member.Suspect
 	if before.Equal(NewFleet("d0", members, 3, time.Minute)) {
-		t.Error("a suspect one makes no other snapshot")
+		t.Error("snapshots before and after a member became suspect are equal")
 	}
 }
 
-// BenchmarkUnchangedFleet is what a daemon does four times a second for the limits while no other
-// daemon comes or goes.
+// BenchmarkUnchangedFleet measures what a daemon does for the limits four times a second while the
+// membership does not change.
 func BenchmarkUnchangedFleet(b *testing.B) {
 	for _, daemons := range []int{30, 100, 300, 1000} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
@@ -55,16 +55,16 @@
 			before := discovery.Fleet(time.Unix(1000, 0), "d0", members, 3)
 			for b.Loop() {
 				if !discovery.Fleet(time.Unix(1100, 0), "d0", members, 3).Equal(before) {
-					b.Fatal("another snapshot")
+					b.Fatal("snapshots of the same members differ")
 				}
 			}
 		})
 	}
 }
 
-// TestPartOfTheFleet covers how much of a limit a daemon gives out.
+// TestPartOfTheFleet covers which part of a limit the reachable daemons may use.
 func TestPartOfTheFleet(t *testing.T) {
-	known := func(states ...member.Member) []member.Member {
+	membersOf := func(states ...member.Member) []member.Member {
 		for i := range states {
 			states[i].Name = fmt.Sprint("d", i)
 		}
@@ -80,12 +80,12 @@
 		daemons int
 		lonely  bool
 	}{
-		{"all are heard", known(member.Member{}, member.Member{}), 1, 0, 1, 2, false},
-		{"half is not heard", known(member.Member{}, member.Member{State: member.Suspect}), 1, 0, 0.5, 2, false},
-		{"one has ended as planned", known(member.Member{}, ended), 0, 0, 1, 1, false},
-		{"the only one there is", known(member.Member{}), 0, 0, 1, 1, false},
-		{"one that has heard nobody yet", known(member.Member{}), 3, time.Second, 1.0 / assumedDaemons, assumedDaemons, true},
-		{"one that has heard nobody for long", known(member.Member{}), 3, time.Minute, 0.25, 4, true},
+		{"all are reachable", membersOf(member.Member{}, member.Member{}), 1, 0, 1, 2, false},
+		{"half is unreachable", membersOf(member.Member{}, member.Member{State: member.Suspect}), 1, 0, 0.5, 2, false},
+		{"one has stopped as planned", membersOf(member.Member{}, ended), 0, 0, 1, 1, false},
+		{"a fleet of one", membersOf(member.Member{}), 0, 0, 1, 1, false},
+		{"one that has reached no other yet", membersOf(member.Member{}), 3, time.Second, 1.0 / assumedDaemons, assumedDaemons, true},
+		{"one that has reached no other for long", membersOf(member.Member{}), 3, time.Minute, 0.25, 4, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -97,23 +97,23 @@
 	}
 }
 
-// TestStandstillLeavesNothingSavedUp has an owner stand still: the first request after it may come
-// before any tick, and finds no burst.
+// TestStandstillLeavesNothingSavedUp stalls the process of an owner. The first request afterwards
+// may arrive before any tick, and must not be granted a burst that other daemons may have granted.
 func TestStandstillLeavesNothingSavedUp(t *testing.T) {
 	now := time.Unix(1000, 0)
 	fleet := NewFleet("d0", []member.Member{{Name: "d0"}}, 0, 0)
 	limit := Limit{PerSecond: 10, Burst: 10}
-	keeper := NewKeeper()
-	keeper.Own(now, fleet, []string{tenantName})
+	buckets := NewKeeper()
+	buckets.Own(now, fleet, []string{tenantName})
 	now = now.Add(3 * time.Second)
 	granted := 0
-	for keeper.Take(now, fleet, tenantName, &limit, 1, 0).Granted {
+	for buckets.Take(now, fleet, tenantName, &limit, 1, 0).Granted {
 		granted++
 	}
-	if claims := keeper.Tick(now); granted != 1 || !slices.Equal(claims, []string{tenantName}) {
-		t.Errorf("%d granted, %v claimed", granted, claims)
+	if claims := buckets.Tick(now); granted != 1 || !slices.Equal(claims, []string{tenantName}) {
+		t.Errorf("%d requests granted and %v claimed, want 1 and the tenant", granted, claims)
 	}
-	if claims := keeper.Tick(now.Add(100 * time.Millisecond)); claims != nil {
-		t.Errorf("claimed again: %v", claims)
+	if claims := buckets.Tick(now.Add(100 * time.Millisecond)); claims != nil {
+		t.Errorf("claimed again without a stall: %v", claims)
 	}
 }
--- a/quota/norace_test.go
+++ b/quota/norace_test.go
@@ -2,5 +2,5 @@
 
 package quota
 
-// largeFleets says that tests play large fleets too.
+// largeFleets says that tests simulate large fleets too.
 const largeFleets = true
--- a/quota/race_test.go
+++ b/quota/race_test.go
@@ -2,6 +2,6 @@
 
 package quota
 
-// largeFleets says that tests play large fleets too. With the race detector they take minutes; CI
-// plays them without it.
+// largeFleets says that tests simulate large fleets too. With the race detector they take minutes;
+// CI runs them without it.
 const largeFleets = false
--- a/quota/simulation_test.go
+++ b/quota/simulation_test.go
@@ -10,62 +10,64 @@
 )
 
 const (
-	// window and overshoot are by how much and over which time the users' sites let limits be
-	// passed, slack by how many tokens more.
+	// The users' sites allow a limit to be exceeded by the fraction overshoot over any window, and
+	// by slack tokens more.
 	window    = 8 * time.Second
 	overshoot = 0.1
 	slack     = 11_000.0
 	// step is the resolution of virtual time.
 	step = 5 * time.Millisecond
-	// tickPause is how often daemons do what is due.
-	tickPause = 50 * time.Millisecond
-	// answerLimit is how long an answer is waited for, and restSpan how long a daemon that gave
-	// none is not asked: as in the daemon.
-	answerLimit = 80 * time.Millisecond
-	restSpan    = 250 * time.Millisecond
+	// tickInterval is how often daemons run their periodic work.
+	tickInterval = 50 * time.Millisecond
+	// answerTimeout is how long a daemon waits for an answer, and unreachableBackoff how long it
+	// does not query a daemon that did not answer. Both have the values of package limiter.
+	answerTimeout      = 80 * time.Millisecond
+	unreachableBackoff = 250 * time.Millisecond
 )
 
-// node is one daemon in virtual time.
+// node is one simulated daemon.
 type node struct {
 	name   string
 	member member.Member
 	dead   bool
 	frozen bool
-	// side is the part of the network that the daemon is in.
+	// side is the side of a network partition that the daemon is on.
 	side int
-	// fleet is what it believes of the others; states are by name.
-	states  map[string]member.State
-	fleet   *Fleet
-	keeper  *Keeper
-	resting map[string]time.Time
-	// unknown are the daemons that it has not heard of since its start.
-	unknown map[string]bool
-	// heard is the number of the newest change that it knows of each other one.
-	heard map[string]int
-	seen  *Discovery
+	// fleet is its snapshot of the daemons; states are the states of the others, by name.
+	states       map[string]member.State
+	fleet        *Fleet
+	buckets      *Keeper
+	backoffUntil map[string]time.Time
+	// undiscovered are the daemons that it has not discovered since its start.
+	undiscovered map[string]bool
+	// newestChange is the number of the last state change that it received of each other daemon.
+	newestChange map[string]int
+	discovery    *Discovery
 }
 
-// world is a fleet of daemons that hold one tenant to its limit.
-type world struct {
+// simulation is a fleet of daemons that enforce the limit of one tenant, in virtual time.
+type simulation struct {
 	now time.Time
-	// ticked is when daemons last did what is due.
-	ticked  time.Time
-	random  *rand.Rand
-	nodes   []*node
-	limit   Limit
-	way     way
+	// lastTick is when daemons last ran their periodic work.
+	lastTick time.Time
+	random   *rand.Rand
+	nodes    []*node
+	limit    Limit
+	strategy strategy
+	// offered are the requests that clients sent, and arrived those that reached an instance.
 	arrived []arrival
 	offered []arrival
-	// perSecond is what the tenant asks, in tokens.
-	perSecond float64
-	cost      func() float64
-	meanCost  float64
-	bound     bound
-	pending   []belief
-	changes   int
-	messages  int
-	delayed   time.Duration
-	asked     int
+	// perSecond is the rate of tokens that the tenant requests.
+	perSecond      float64
+	cost           func() float64
+	meanCost       float64
+	bound          bound
+	pendingUpdates []stateUpdate
+	changeCount    int
+	messages       int
+	totalDelay     time.Duration
+	// requested is the number of requests.
+	requested int
 }
 
 // arrival is one request at an instance, or one that was offered to the fleet.
@@ -74,28 +76,28 @@
 	cost float64
 }
 
-// belief is what a daemon comes to think of another one at a moment.
-type belief struct {
-	at        time.Time
-	of, about *node
-	state     member.State
-	// change numbers the changes: an older one is no news.
+// stateUpdate is a state of a peer that an observer receives at a moment. Without an observer the peer restarts.
+type stateUpdate struct {
+	at             time.Time
+	observer, peer *node
+	state          member.State
+	// change numbers the changes: one that is not newer than the last received one is ignored.
 	change int
 }
 
-// way is one manner to hold a tenant to its limit.
-type way interface {
-	// take asks for one request at a daemon. It returns how long that takes.
-	take(w *world, at *node, cost float64) (granted bool, delay time.Duration)
-	// keeper returns that of one daemon.
-	keeper() *Keeper
-	// tick does what is due.
-	tick(w *world)
-	// changed tells that a daemon's belief of the fleet is another one.
-	changed(w *world, at *node)
+// strategy is one way to enforce the limit of a tenant.
+type strategy interface {
+	// take requests a grant for one request at a daemon. It returns how long that takes.
+	take(s *simulation, at *node, cost float64) (granted bool, delay time.Duration)
+	// buckets returns the initial buckets of one daemon.
+	buckets() *Keeper
+	// tick runs the periodic work.
+	tick(s *simulation)
+	// changed is called after a daemon's snapshot of the fleet was replaced.
+	changed(s *simulation, at *node)
 }
 
-// bound is by how much a limit may be passed in any window.
+// bound is by how much a limit may be exceeded in any window.
 type bound struct {
 	window    time.Duration
 	overshoot float64
@@ -104,148 +106,148 @@
 
 const tenantName = "acme"
 
-func newWorld(seed uint64, daemons int, limit Limit, used way) *world {
-	w := &world{now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, 3)), limit: limit, way: used}
-	w.cost, w.meanCost = func() float64 { return 200 + 2800*w.random.Float64() }, 1600
-	w.bound = bound{window: window, overshoot: overshoot, slack: slack}
+func newSimulation(seed uint64, daemons int, limit Limit, tested strategy) *simulation {
+	s := &simulation{now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, 3)), limit: limit, strategy: tested}
+	s.cost, s.meanCost = func() float64 { return 200 + 2800*s.random.Float64() }, 1600
+	s.bound = bound{window: window, overshoot: overshoot, slack: slack}
 	for i := range daemons {
 		weight := 192
 		if i%12 == 0 {
 			weight = 800
 		}
 		name := fmt.Sprint("d", i)
-		made := &node{
-			name: name, states: map[string]member.State{}, keeper: used.keeper(), resting: map[string]time.Time{}, heard: map[string]int{},
-			member: member.Member{Name: name, Weight: weight}, seen: NewDiscovery(w.now.Add(-time.Minute)),
+		created := &node{
+			name: name, states: map[string]member.State{}, buckets: tested.buckets(), backoffUntil: map[string]time.Time{}, newestChange: map[string]int{},
+			member: member.Member{Name: name, Weight: weight}, discovery: NewDiscovery(s.now.Add(-time.Minute)),
 		}
-		w.nodes = append(w.nodes, made)
+		s.nodes = append(s.nodes, created)
 	}
-	for _, n := range w.nodes {
-		w.draw(n)
+	for _, n := range s.nodes {
+		s.takeSnapshot(n)
 	}
-	for _, n := range w.nodes {
-		w.way.changed(w, n)
+	for _, n := range s.nodes {
+		s.strategy.changed(s, n)
 	}
-	w.run(2 * time.Second)
-	w.arrived, w.offered, w.messages, w.delayed, w.asked = nil, nil, 0, 0, 0
-	return w
+	s.run(2 * time.Second)
+	s.arrived, s.offered, s.messages, s.totalDelay, s.requested = nil, nil, 0, 0, 0
+	return s
 }
 
-// look makes a daemon's picture of the fleet anew, and has it act on it.
-func (w *world) look(n *node) {
-	w.draw(n)
-	w.way.changed(w, n)
+// rebuildFleet replaces a daemon's snapshot of the fleet, and notifies the strategy.
+func (s *simulation) rebuildFleet(n *node) {
+	s.takeSnapshot(n)
+	s.strategy.changed(s, n)
 }
 
-// refresh has a daemon that has started not long ago look again: its fleet may have formed.
-func (w *world) refresh(n *node) {
-	if n.seen.growthSteps > 1 && w.now.Sub(n.seen.started) < discoveryWindow {
-		w.look(n)
+// rebuildIfForming rebuilds the snapshot of a daemon that started recently: its fleet may be complete now.
+func (s *simulation) rebuildIfForming(n *node) {
+	if n.discovery.growthSteps > 1 && s.now.Sub(n.discovery.started) < discoveryWindow {
+		s.rebuildFleet(n)
 	}
 }
 
-func (w *world) draw(n *node) {
-	members := make([]member.Member, 0, len(w.nodes))
-	for _, other := range w.nodes {
-		if n.unknown[other.name] {
+func (s *simulation) takeSnapshot(n *node) {
+	members := make([]member.Member, 0, len(s.nodes))
+	for _, other := range s.nodes {
+		if n.undiscovered[other.name] {
 			continue
 		}
-		known := other.member
-		known.State = n.states[other.name]
-		members = append(members, known)
+		m := other.member
+		m.State = n.states[other.name]
+		members = append(members, m)
 	}
-	n.fleet = n.seen.Fleet(w.now, n.name, members, 3)
+	n.fleet = n.discovery.Fleet(s.now, n.name, members, 3)
 }
 
-// learn makes the daemons that reach each other hear of a state within a second and a half.
-func (w *world) learn(about *node, state member.State, by func(*node) bool) {
-	w.changes++
-	for _, n := range w.nodes {
-		if n != about && by(n) {
-			after := 500*time.Millisecond + time.Duration(w.random.Int64N(int64(time.Second)))
-			w.pending = append(w.pending, belief{w.now.Add(after), n, about, state, w.changes})
+// propagate schedules the receipt of a peer's state at the selected daemons within a second and a half.
+func (s *simulation) propagate(peer *node, state member.State, by func(*node) bool) {
+	s.changeCount++
+	for _, n := range s.nodes {
+		if n != peer && by(n) {
+			delay := 500*time.Millisecond + time.Duration(s.random.Int64N(int64(time.Second)))
+			s.pendingUpdates = append(s.pendingUpdates, stateUpdate{s.now.Add(delay), n, peer, state, s.changeCount})
 		}
 	}
 }
 
-func (w *world) kill(n *node, span time.Duration) {
+func (s *simulation) kill(n *node, downtime time.Duration) {
 	n.dead = true
-	w.learn(n, member.Suspect, func(*node) bool { return true })
-	if span > 0 {
-		w.pending = append(w.pending, belief{at: w.now.Add(span), about: n})
+	s.propagate(n, member.Suspect, func(*node) bool { return true })
+	if downtime > 0 {
+		s.pendingUpdates = append(s.pendingUpdates, stateUpdate{at: s.now.Add(downtime), peer: n})
 	}
 }
 
-// revive starts a killed daemon again, with nothing but what it hears at once.
-func (w *world) revive(n *node) {
-	n.dead, n.keeper, n.resting, n.seen = false, w.way.keeper(), map[string]time.Time{}, NewDiscovery(w.now)
-	n.states, n.heard = map[string]member.State{}, map[string]int{}
-	for _, other := range w.nodes {
-		n.heard[other.name] = w.changes
+// restart starts a killed daemon again. Its only state is what it receives from the others at once.
+func (s *simulation) restart(n *node) {
+	n.dead, n.buckets, n.backoffUntil, n.discovery = false, s.strategy.buckets(), map[string]time.Time{}, NewDiscovery(s.now)
+	n.states, n.newestChange = map[string]member.State{}, map[string]int{}
+	for _, other := range s.nodes {
+		n.newestChange[other.name] = s.changeCount
 		if other.dead {
 			n.states[other.name] = member.Suspect
 		}
 	}
-	w.look(n)
-	w.learn(n, member.Alive, func(*node) bool { return true })
+	s.rebuildFleet(n)
+	s.propagate(n, member.Alive, func(*node) bool { return true })
 }
 
-// restartAll ends all daemons at once, and starts them again together: each comes to know the others
+// restartAll stops all daemons at once, and starts them again together: each discovers the others
 // one by one.
-func (w *world) restartAll(after time.Duration) {
-	for _, n := range w.nodes {
+func (s *simulation) restartAll(delay time.Duration) {
+	for _, n := range s.nodes {
 		n.dead = true
 	}
-	w.run(after)
-	w.pending = nil
-	for _, n := range w.nodes {
-		n.dead, n.keeper, n.resting, n.seen = false, w.way.keeper(), map[string]time.Time{}, NewDiscovery(w.now)
-		n.states, n.heard, n.unknown = map[string]member.State{}, map[string]int{}, map[string]bool{}
-		for _, other := range w.nodes {
-			n.unknown[other.name] = other != n
+	s.run(delay)
+	s.pendingUpdates = nil
+	for _, n := range s.nodes {
+		n.dead, n.buckets, n.backoffUntil, n.discovery = false, s.strategy.buckets(), map[string]time.Time{}, NewDiscovery(s.now)
+		n.states, n.newestChange, n.undiscovered = map[string]member.State{}, map[string]int{}, map[string]bool{}
+		for _, other := range s.nodes {
+			n.undiscovered[other.name] = other != n
 		}
 	}
-	for _, n := range w.nodes {
-		w.look(n)
-		w.changes++
-		for _, other := range w.nodes {
+	for _, n := range s.nodes {
+		s.rebuildFleet(n)
+		s.changeCount++
+		for _, other := range s.nodes {
 			if other != n {
-				heardAt := w.now.Add(firstHeard + time.Duration(w.random.Int64N(int64(lastHeard-firstHeard))))
-				w.pending = append(w.pending, belief{heardAt, other, n, member.Alive, w.changes})
+				discoveredAt := s.now.Add(minDiscoveryDelay + time.Duration(s.random.Int64N(int64(maxDiscoveryDelay-minDiscoveryDelay))))
+				s.pendingUpdates = append(s.pendingUpdates, stateUpdate{discoveredAt, other, n, member.Alive, s.changeCount})
 			}
 		}
 	}
 }
 
-// After all daemons of a fleet of 69 started together, each had heard of the first others within
-// firstHeard and of the last ones after lastHeard (seen in the logs of one play).
+// After all daemons of a fleet of 69 started together, each had discovered the first others within
+// minDiscoveryDelay and the last ones after maxDiscoveryDelay, by the logs of a test run.
 const (
-	firstHeard = 100 * time.Millisecond
-	lastHeard  = 1700 * time.Millisecond
+	minDiscoveryDelay = 100 * time.Millisecond
+	maxDiscoveryDelay = 1700 * time.Millisecond
 )
 
-// cut parts the network: the given daemons are on another side from now on.
-func (w *world) cut(others []*node) {
+// partition splits the network: the given daemons are on another side from now on.
+func (s *simulation) partition(others []*node) {
 	for _, n := range others {
 		n.side = 1
 	}
-	for _, n := range w.nodes {
+	for _, n := range s.nodes {
 		side := n.side
-		w.learn(n, member.Suspect, func(other *node) bool { return other.side != side })
+		s.propagate(n, member.Suspect, func(other *node) bool { return other.side != side })
 	}
 }
 
-func (w *world) heal() {
-	for _, n := range w.nodes {
+func (s *simulation) heal() {
+	for _, n := range s.nodes {
 		n.side = 0
-		w.learn(n, member.Alive, func(*node) bool { return true })
+		s.propagate(n, member.Alive, func(*node) bool { return true })
 	}
 }
 
-func (w *world) reaches(a, b *node) bool { return !b.dead && !b.frozen && a.side == b.side }
+func (s *simulation) reaches(a, b *node) bool { return !b.dead && !b.frozen && a.side == b.side }
 
-func (w *world) find(name string) *node {
-	for _, n := range w.nodes {
+func (s *simulation) find(name string) *node {
+	for _, n := range s.nodes {
 		if n.name == name {
 			return n
 		}
@@ -253,61 +255,61 @@
 	return nil
 }
 
-func (w *world) run(span time.Duration) {
-	for end := w.now.Add(span); w.now.Before(end); w.now = w.now.Add(step) {
-		w.believe()
-		w.way.tick(w)
-		for expected := w.perSecond * step.Seconds() / w.meanCost; expected > 0; expected-- {
-			if w.random.Float64() < expected {
-				w.request()
+func (s *simulation) run(duration time.Duration) {
+	for end := s.now.Add(duration); s.now.Before(end); s.now = s.now.Add(step) {
+		s.applyUpdates()
+		s.strategy.tick(s)
+		for expected := s.perSecond * step.Seconds() / s.meanCost; expected > 0; expected-- {
+			if s.random.Float64() < expected {
+				s.request()
 			}
 		}
 	}
 }
 
-func (w *world) believe() {
-	pending := w.pending
-	w.pending = nil
-	for _, b := range pending {
+func (s *simulation) applyUpdates() {
+	pendingUpdates := s.pendingUpdates
+	s.pendingUpdates = nil
+	for _, update := range pendingUpdates {
 		switch {
-		case b.at.After(w.now):
-			w.pending = append(w.pending, b)
-		case b.of == nil:
-			w.revive(b.about)
-		case !b.of.dead && b.change > b.of.heard[b.about.name]:
-			b.of.heard[b.about.name] = b.change
-			b.of.states[b.about.name] = b.state
-			delete(b.of.unknown, b.about.name)
-			w.look(b.of)
+		case update.at.After(s.now):
+			s.pendingUpdates = append(s.pendingUpdates, update)
+		case update.observer == nil:
+			s.restart(update.peer)
+		case !update.observer.dead && update.change > update.observer.newestChange[update.peer.name]:
+			update.observer.newestChange[update.peer.name] = update.change
+			update.observer.states[update.peer.name] = update.state
+			delete(update.observer.undiscovered, update.peer.name)
+			s.rebuildFleet(update.observer)
 		}
 	}
 }
 
-// request has one request arrive at a daemon that lives.
-func (w *world) request() {
-	at := w.nodes[w.random.IntN(len(w.nodes))]
+// request sends one request to a random daemon. It does not count if the daemon is dead or frozen.
+func (s *simulation) request() {
+	at := s.nodes[s.random.IntN(len(s.nodes))]
 	if at.dead || at.frozen {
 		return
 	}
-	cost := w.cost()
-	w.offered = append(w.offered, arrival{w.now, cost})
-	w.asked++
-	granted, delay := w.way.take(w, at, cost)
-	w.delayed += delay
+	cost := s.cost()
+	s.offered = append(s.offered, arrival{s.now, cost})
+	s.requested++
+	granted, delay := s.strategy.take(s, at, cost)
+	s.totalDelay += delay
 	if granted {
-		w.arrived = append(w.arrived, arrival{w.now.Add(delay), cost})
+		s.arrived = append(s.arrived, arrival{s.now.Add(delay), cost})
 	}
 }
 
-// excess is by how many tokens the worst window passes what is allowed; negative if none does.
-func (w *world) excess() float64 {
-	slices.SortFunc(w.arrived, func(a, b arrival) int { return a.at.Compare(b.at) })
-	allowed := (w.limit.PerSecond*w.bound.window.Seconds()+w.limit.Burst)*(1+w.bound.overshoot) + w.bound.slack
+// excess is by how many tokens the worst window exceeds the allowed amount; negative if none does.
+func (s *simulation) excess() float64 {
+	slices.SortFunc(s.arrived, func(a, b arrival) int { return a.at.Compare(b.at) })
+	allowed := (s.limit.PerSecond*s.bound.window.Seconds()+s.limit.Burst)*(1+s.bound.overshoot) + s.bound.slack
 	worst, sum, first := 0.0, 0.0, 0
-	for _, one := range w.arrived {
+	for _, one := range s.arrived {
 		sum += one.cost
-		for one.at.Sub(w.arrived[first].at) >= w.bound.window {
-			sum -= w.arrived[first].cost
+		for one.at.Sub(s.arrived[first].at) >= s.bound.window {
+			sum -= s.arrived[first].cost
 			first++
 		}
 		worst = max(worst, sum)
@@ -315,19 +317,19 @@
 	return worst - allowed
 }
 
-// lost is the part of what one bucket for the whole fleet would have let through that was refused.
-func (w *world) lost() float64 {
-	central := &bucket{updatedAt: w.now.Add(-time.Hour), level: w.limit.Burst}
-	if len(w.offered) > 0 {
-		central.updatedAt = w.offered[0].at
+// lost is the refused fraction of what a single bucket for the whole fleet would have granted.
+func (s *simulation) lost() float64 {
+	central := &bucket{at: s.now.Add(-time.Hour), level: s.limit.Burst}
+	if len(s.offered) > 0 {
+		central.at = s.offered[0].at
 	}
 	ideal, got := 0.0, 0.0
-	for _, one := range w.offered {
-		if granted, _ := central.take(one.at, &w.limit, 1, one.cost, 0); granted {
+	for _, one := range s.offered {
+		if granted, _ := central.take(one.at, &s.limit, 1, one.cost, 0); granted {
 			ideal += one.cost
 		}
 	}
-	for _, one := range w.arrived {
+	for _, one := range s.arrived {
 		got += one.cost
 	}
 	if ideal == 0 {
--- a/quota/strategies_test.go
+++ b/quota/strategies_test.go
@@ -4,66 +4,66 @@
 	"time"
 )
 
-// owners is the way of the product: the owner of a tenant is asked, then its stand-in.
-type owners struct {
-	// within is how long requests wait for their turn.
+// ownerStrategy is what the daemons run: they query the owner of a tenant, then its stand-ins.
+type ownerStrategy struct {
+	// within is how long requests may wait for their turn.
 	within time.Duration
-	// strict is for small limits: a daemon that hears others has nothing by itself.
+	// strict is for small limits: a daemon that reaches others grants nothing without them.
 	strict bool
 }
 
-func (o owners) keeper() *Keeper {
+func (o ownerStrategy) buckets() *Keeper {
 	if o.strict {
 		return NewKeeperInDebt(1)
 	}
 	return NewKeeper()
 }
 
-func (o owners) tick(w *world) {
-	if w.now.Sub(w.ticked) < tickPause {
+func (o ownerStrategy) tick(s *simulation) {
+	if s.now.Sub(s.lastTick) < tickInterval {
 		return
 	}
-	w.ticked = w.now
-	for _, n := range w.nodes {
+	s.lastTick = s.now
+	for _, n := range s.nodes {
 		if !n.dead && !n.frozen {
-			w.refresh(n)
-			o.claim(w, n, n.keeper.Tick(w.now))
+			s.rebuildIfForming(n)
+			o.claim(s, n, n.buckets.Tick(s.now))
 		}
 	}
 }
 
-func (o owners) changed(w *world, at *node) {
+func (o ownerStrategy) changed(s *simulation, at *node) {
 	var owned []string
 	if at.fleet.RoleOf(tenantName) == RoleOwner {
 		owned = append(owned, tenantName)
 	}
-	o.claim(w, at, at.keeper.Own(w.now, at.fleet, owned))
+	o.claim(s, at, at.buckets.Own(s.now, at.fleet, owned))
 }
 
-// claim has the others yield, or claim in turn what they come first for.
-func (o owners) claim(w *world, at *node, names []string) {
+// claim sends claims to the rivals. Each yields, or answers with a claim of its own if it precedes the sender.
+func (o ownerStrategy) claim(s *simulation, at *node, names []string) {
 	for _, name := range names {
 		for _, rival := range at.fleet.Rivals(name) {
-			other := w.find(rival)
-			w.messages++
+			other := s.find(rival)
+			s.messages++
 			switch {
-			case !w.reaches(at, other):
+			case !s.reaches(at, other):
 			case other.fleet.Precedes(at.name, name):
-				other.keeper.Yield(w.now, name, at.name)
+				other.buckets.Yield(s.now, name, at.name)
 			case other.fleet.RoleOf(name) == RoleOwner:
-				w.messages++
-				at.keeper.Yield(w.now, name, other.name)
+				s.messages++
+				at.buckets.Yield(s.now, name, other.name)
 			}
 		}
 	}
 }
 
-func (o owners) take(w *world, at *node, cost float64) (bool, time.Duration) {
+func (o ownerStrategy) take(s *simulation, at *node, cost float64) (bool, time.Duration) {
 	delay := time.Duration(0)
 	for _, name := range at.fleet.Owners(tenantName) {
-		answer, answered := o.ask(w, at, name, cost, &delay)
+		answer, answered := o.query(s, at, name, cost, &delay)
 		if answered && answer.Owner != "" {
-			answer, answered = o.ask(w, at, answer.Owner, cost, &delay)
+			answer, answered = o.query(s, at, answer.Owner, cost, &delay)
 		}
 		if answered && answer.Owner == "" {
 			if answer.Granted {
@@ -75,153 +75,153 @@
 	if o.strict && !at.fleet.Lonely {
 		return false, delay
 	}
-	return at.keeper.TakeAlone(w.now, at.fleet, tenantName, &w.limit, cost), delay
+	return at.buckets.TakeAlone(s.now, at.fleet, tenantName, &s.limit, cost), delay
 }
 
-func (o owners) ask(w *world, at *node, name string, cost float64, delay *time.Duration) (Answer, bool) {
-	if name == "" || w.now.Before(at.resting[name]) {
+func (o ownerStrategy) query(s *simulation, at *node, name string, cost float64, delay *time.Duration) (Answer, bool) {
+	if name == "" || s.now.Before(at.backoffUntil[name]) {
 		return Answer{}, false
 	}
-	asked := w.find(name)
-	if asked != at {
-		w.messages++
-		if !w.reaches(at, asked) {
-			at.resting[name] = w.now.Add(restSpan)
-			*delay += answerLimit
+	queried := s.find(name)
+	if queried != at {
+		s.messages++
+		if !s.reaches(at, queried) {
+			at.backoffUntil[name] = s.now.Add(unreachableBackoff)
+			*delay += answerTimeout
 			return Answer{}, false
 		}
-		w.messages++
+		s.messages++
 	}
-	return asked.keeper.Take(w.now, asked.fleet, tenantName, &w.limit, cost, o.within), true
+	return queried.buckets.Take(s.now, queried.fleet, tenantName, &s.limit, cost, o.within), true
 }
 
-// evenParts is the baseline: each daemon has its part of the limit and asks nobody.
-type evenParts struct{}
+// evenSplit is the baseline: each daemon grants an even part of the limit without messages.
+type evenSplit struct{}
 
-func (evenParts) keeper() *Keeper       { return NewKeeper() }
-func (evenParts) tick(*world)           {}
-func (evenParts) changed(*world, *node) {}
+func (evenSplit) buckets() *Keeper           { return NewKeeper() }
+func (evenSplit) tick(*simulation)           {}
+func (evenSplit) changed(*simulation, *node) {}
 
-func (evenParts) take(w *world, at *node, cost float64) (bool, time.Duration) {
-	alone := &Fleet{Daemons: len(w.nodes)}
-	return at.keeper.TakeAlone(w.now, alone, tenantName, &w.limit, cost*AlonePart), 0
+func (evenSplit) take(s *simulation, at *node, cost float64) (bool, time.Duration) {
+	alone := &Fleet{Daemons: len(s.nodes)}
+	return at.buckets.TakeAlone(s.now, alone, tenantName, &s.limit, cost*AlonePart), 0
 }
 
-// wholeEach has each daemon keep to the whole limit by itself.
-type wholeEach struct{}
+// fullLimitEach has each daemon grant the whole limit without the others.
+type fullLimitEach struct{}
 
-func (wholeEach) keeper() *Keeper       { return NewKeeper() }
-func (wholeEach) tick(*world)           {}
-func (wholeEach) changed(*world, *node) {}
+func (fullLimitEach) buckets() *Keeper           { return NewKeeper() }
+func (fullLimitEach) tick(*simulation)           {}
+func (fullLimitEach) changed(*simulation, *node) {}
 
-func (wholeEach) take(w *world, at *node, cost float64) (bool, time.Duration) {
-	return at.keeper.Take(w.now, &Fleet{Self: at.name, Part: 1, Daemons: 1, owners: map[string][]string{}}, tenantName, &w.limit, cost, 0).Granted, 0
+func (fullLimitEach) take(s *simulation, at *node, cost float64) (bool, time.Duration) {
+	return at.buckets.Take(s.now, &Fleet{Self: at.name, Part: 1, Daemons: 1, owners: map[string][]string{}}, tenantName, &s.limit, cost, 0).Granted, 0
 }
 
-// leases is a way that was weighed: each daemon tells the owner what it is asked for, and has a
-// lease on a part of the rate for a while. An owner that is new learns for one term what the
-// others have before it gives out more.
-type leases struct {
-	term, every time.Duration
-	next        time.Time
-	lessees     map[string]*lessee
-	lessors     map[string]*lessor
+// leaseStrategy is an alternative for comparison. Each daemon reports its demand to the owner, and
+// holds a lease on a part of the rate for a term. A new owner collects for one term what the others
+// hold before it grants more.
+type leaseStrategy struct {
+	term, interval time.Duration
+	nextRenewal    time.Time
+	lessees        map[string]*lessee
+	lessors        map[string]*lessor
 }
 
-// lessee is a daemon's side.
+// lessee is the state of a daemon that holds a lease.
 type lessee struct {
-	// part is the part of the limit that it has until a moment.
-	part  float64
-	until time.Time
-	wants float64
-	spent bucket
+	// part is the part of the limit that it holds until expiresAt.
+	part      float64
+	expiresAt time.Time
+	demand    float64
+	spent     bucket
 }
 
-// lessor is the owner's side: what each daemon has and until when, and since when this one owns.
+// lessor is the state of the owner: the leases and demand by daemon, and since when it is the owner.
 type lessor struct {
-	parts map[string]float64
-	until map[string]time.Time
-	wants map[string]float64
-	since time.Time
+	parts      map[string]float64
+	expiresAt  map[string]time.Time
+	demand     map[string]float64
+	ownedSince time.Time
 }
 
-func newLeases() *leases {
-	return &leases{term: time.Second, every: 200 * time.Millisecond, lessees: map[string]*lessee{}, lessors: map[string]*lessor{}}
+func newLeaseStrategy() *leaseStrategy {
+	return &leaseStrategy{term: time.Second, interval: 200 * time.Millisecond, lessees: map[string]*lessee{}, lessors: map[string]*lessor{}}
 }
 
-func (l *leases) keeper() *Keeper { return NewKeeper() }
+func (l *leaseStrategy) buckets() *Keeper { return NewKeeper() }
 
-func (l *leases) of(name string) *lessee {
-	known := l.lessees[name]
-	if known == nil {
-		known = &lessee{}
-		l.lessees[name] = known
+func (l *leaseStrategy) lesseeFor(name string) *lessee {
+	current := l.lessees[name]
+	if current == nil {
+		current = &lessee{}
+		l.lessees[name] = current
 	}
-	return known
+	return current
 }
 
-func (l *leases) changed(w *world, at *node) {
+func (l *leaseStrategy) changed(s *simulation, at *node) {
 	owns := at.fleet.RoleOf(tenantName) == RoleOwner
-	switch known := l.lessors[at.name]; {
-	case owns && known == nil:
-		l.lessors[at.name] = &lessor{parts: map[string]float64{}, until: map[string]time.Time{}, wants: map[string]float64{}, since: w.now}
+	switch current := l.lessors[at.name]; {
+	case owns && current == nil:
+		l.lessors[at.name] = &lessor{parts: map[string]float64{}, expiresAt: map[string]time.Time{}, demand: map[string]float64{}, ownedSince: s.now}
 	case !owns:
 		delete(l.lessors, at.name)
 	}
 }
 
-func (l *leases) take(w *world, at *node, cost float64) (bool, time.Duration) {
-	known := l.of(at.name)
-	known.wants += cost
+func (l *leaseStrategy) take(s *simulation, at *node, cost float64) (bool, time.Duration) {
+	current := l.lesseeFor(at.name)
+	current.demand += cost
 	part := 0.0
-	if w.now.Before(known.until) {
-		part = known.part
+	if s.now.Before(current.expiresAt) {
+		part = current.part
 	}
-	granted, _ := known.spent.take(w.now, &w.limit, max(part, AlonePart/float64(2*len(w.nodes))), cost, 0)
+	granted, _ := current.spent.take(s.now, &s.limit, max(part, AlonePart/float64(2*len(s.nodes))), cost, 0)
 	return granted, 0
 }
 
 // tick renews the leases.
-func (l *leases) tick(w *world) {
-	if w.now.Before(l.next) {
+func (l *leaseStrategy) tick(s *simulation) {
+	if s.now.Before(l.nextRenewal) {
 		return
 	}
-	l.next = w.now.Add(l.every)
-	for _, n := range w.nodes {
+	l.nextRenewal = s.now.Add(l.interval)
+	for _, n := range s.nodes {
 		if n.dead || n.frozen {
 			continue
 		}
-		known := l.of(n.name)
-		known.wants *= 0.7
-		owner := w.find(n.fleet.owner(tenantName))
-		if owner == nil || owner != n && !w.reaches(n, owner) {
+		current := l.lesseeFor(n.name)
+		current.demand *= 0.7
+		owner := s.find(n.fleet.owner(tenantName))
+		if owner == nil || owner != n && !s.reaches(n, owner) {
 			continue
 		}
-		w.messages += 2
+		s.messages += 2
 		if lessor := l.lessors[owner.name]; lessor != nil {
-			l.renew(w, lessor, n.name, known, owner.fleet.Part)
+			l.renew(s, lessor, n.name, current, owner.fleet.Part)
 		}
 	}
 }
 
-// renew gives a daemon its part by what it and the others want.
-func (l *leases) renew(w *world, from *lessor, name string, known *lessee, whole float64) {
-	from.wants[name] = known.wants
-	wanted, given := 0.0, 0.0
-	for other, wants := range from.wants {
-		wanted += wants
-		if other != name && w.now.Before(from.until[other]) {
-			given += from.parts[other]
+// renew grants a daemon its part in proportion to its demand and that of the others.
+func (l *leaseStrategy) renew(s *simulation, from *lessor, name string, current *lessee, whole float64) {
+	from.demand[name] = current.demand
+	totalDemand, granted := 0.0, 0.0
+	for other, demand := range from.demand {
+		totalDemand += demand
+		if other != name && s.now.Before(from.expiresAt[other]) {
+			granted += from.parts[other]
 		}
 	}
-	part := known.part
-	if w.now.Sub(from.since) >= l.term {
-		part = whole / float64(len(w.nodes)) / 4
-		if wanted > 0 {
-			part = 0.25*part + 0.75*whole*known.wants/wanted
+	part := current.part
+	if s.now.Sub(from.ownedSince) >= l.term {
+		part = whole / float64(len(s.nodes)) / 4
+		if totalDemand > 0 {
+			part = 0.25*part + 0.75*whole*current.demand/totalDemand
 		}
 	}
-	part = max(0, min(part, whole-given))
-	known.part, known.until = part, w.now.Add(l.term)
-	from.parts[name], from.until[name] = part, known.until
+	part = max(0, min(part, whole-granted))
+	current.part, current.expiresAt = part, s.now.Add(l.term)
+	from.parts[name], from.expiresAt[name] = part, current.expiresAt
 }
