--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -1,6 +1,6 @@
-// Package limiter asks the daemons that keep limits whether a subject may use more, and answers for
-// those that this daemon keeps. What decides is in package quota; how messages travel is up to the
-// daemon that it is part of.
+// Package limiter enforces the limits of subjects over messages between daemons. It queries the owner of a limit whether
+// a subject may use more, and answers such queries for the limits that this daemon grants. Package quota decides; the
+// daemon that uses the limiter transports the messages.
 package limiter
 
 import (
@@ -15,51 +15,51 @@
 )
 
 const (
-	// answerTimeout is how long the owner of a limit may take. It answers within a few
-	// milliseconds unless its share of the processor is used up, which lasts up to a tenth of
-	// a second, or it is gone.
+	// answerTimeout is how long the owner of a limit may take to answer. It answers within a few
+	// milliseconds unless its processor share is exhausted, which lasts up to a tenth of a second,
+	// or it does not run.
 	answerTimeout = 80 * time.Millisecond
-	// restSpan is how long an owner that did not answer is not asked again.
-	restSpan = 250 * time.Millisecond
-	// claimsNamed bounds the subjects that a line of the log names.
-	claimsNamed = 16
-	// deniedSpan bounds how long a denial is repeated here without asking again.
-	deniedSpan = 50 * time.Millisecond
+	// ownerBackoff is how long an owner that did not answer is not queried again.
+	ownerBackoff = 250 * time.Millisecond
+	// maxLoggedSubjects bounds the subjects that a log line lists.
+	maxLoggedSubjects = 16
+	// denialTTL bounds how long a denial is repeated locally without a new query.
+	denialTTL = 50 * time.Millisecond
 )
 
-// Message is what daemons tell each other about limits; one field is set.
+// Message is a message about limits between daemons; one field is set.
 type Message struct {
 	Ask    *Ask    `msgpack:"a,omitempty"`
 	Answer *Answer `msgpack:"w,omitempty"`
-	// Claims names subjects whose limits the sender gives out from now on.
+	// Claims lists subjects whose limits the sender grants from now on.
 	Claims []string `msgpack:"c,omitempty"`
 }
 
-// Ask asks whether a subject may use more, or gives back what it has not used.
+// Ask requests a grant for a subject, or returns one that was not used.
 type Ask struct {
-	// ID pairs the answer with the question.
+	// ID pairs the answer with the request.
 	ID      uint64      `msgpack:"i"`
 	Subject string      `msgpack:"t"`
 	Cost    float64     `msgpack:"c"`
 	Limit   quota.Limit `msgpack:"l"`
-	// Within is how long the request may wait for its turn.
+	// Within is how long the request may wait for its turn, the moment at which it may run.
 	Within time.Duration `msgpack:"w,omitempty"`
 	Return bool          `msgpack:"r,omitempty"`
 }
 
-// Answer says whether it may.
+// Answer is the response to an Ask.
 type Answer struct {
 	ID      uint64 `msgpack:"i"`
 	Granted bool   `msgpack:"g,omitempty"`
-	// Wait is until there will be something left, or if granted, until it may be used.
+	// Wait is the time until tokens are available, or if granted, until the grant may be used.
 	Wait time.Duration `msgpack:"w,omitempty"`
-	// Owner is the daemon to ask instead; empty if the answer counts.
+	// Owner is the daemon to query instead; empty if the answer is final.
 	Owner string `msgpack:"o,omitempty"`
 }
 
-// Subjects are those who have limits, as far as this daemon knows. It is immutable.
+// Subjects are the subjects with limits in this daemon's copy of the configuration. It is immutable.
 type Subjects interface {
-	// Rate returns the limit of a subject, if it is known.
+	// Rate returns the limit of a subject, and whether the subject is known.
 	Rate(name string) (limit quota.Limit, known bool)
 	// Limited returns the names of all subjects with a limit.
 	Limited() []string
@@ -70,66 +70,68 @@
 	Subject string
 	Limit   quota.Limit
 	Cost    float64
-	// Within is how long the request may wait for its turn.
+	// Within is how long the request may wait for its turn, the moment at which it may run.
 	Within time.Duration
 }
 
-// Ports are what a limiter needs of its daemon. All of them are called from several goroutines.
+// Ports are the settings and functions that a limiter needs from its daemon. All functions are called from several
+// goroutines.
 type Ports struct {
 	Self string
-	// Now is the clock by which limits are given out; nil means the steady clock of the machine, which
-	// stands still while it is suspended.
+	// Now is the clock by which limits are granted; nil means the monotonic clock of the machine, which
+	// does not advance while the machine is suspended.
 	Now func() time.Time
-	// Address returns where another daemon hears messages.
+	// Address returns the address at which another daemon receives messages.
 	Address func(daemon string) (address string, known bool)
 	Send    func(address string, message *Message)
-	// Subjects returns those of now.
+	// Subjects returns the present subjects.
 	Subjects func() Subjects
-	// Strict keeps a daemon that hears others from giving out a part by itself when none of those that
-	// keep a limit answers it: of limits of a few requests a second, what a large fleet saves up so is more
-	// than the limit.
+	// Strict prevents a daemon that reaches others from granting a part of its own when no owner of a limit
+	// answers. With limits of a few requests a second, the parts that a large fleet accumulates so exceed
+	// the limit.
 	Strict bool
-	// OwnerOnly has a daemon answer with quota.Keeper.TakeAsOwner: a stand-in redirects to the owner that it hears,
-	// and a new owner denies requests at first. Daemons that hear each other then never grant one limit concurrently.
+	// OwnerOnly has a daemon answer with quota.Keeper.TakeAsOwner: a stand-in redirects to the owner that it can
+	// reach, and a new owner denies requests at first. Daemons that reach each other then never grant one limit
+	// concurrently.
 	OwnerOnly bool
-	// Debt is what a daemon that begins to give out a limit takes as given out already.
+	// Debt is how many units a daemon that begins to grant a limit assumes to be granted already.
 	Debt float64
-	// Opening returns the level of a limit with which a daemon begins to give it out; nil means minus Debt. It must not
-	// call the limiter.
+	// Opening returns the level of the bucket with which a daemon begins to grant a limit; nil means minus Debt. It
+	// must not call the limiter.
 	Opening func(subject string) float64
 	Log     func(text string, fields ...any)
 }
 
-// Outcome is whether a subject may use more.
+// Outcome is the result of a request for use.
 type Outcome struct {
 	Granted bool
-	// Unsure says that nobody could tell.
+	// Unsure says that no daemon could decide.
 	Unsure bool
-	// Wait is until there will be something left, or if granted, until it may be used.
+	// Wait is the time until tokens are available, or if granted, until the grant may be used.
 	Wait time.Duration
-	// AnsweredBy is the daemon that granted or denied the request; empty if none was asked or none answered.
+	// AnsweredBy is the daemon that granted or denied the request; empty if none was queried or none answered.
 	AnsweredBy string
 }
 
 // Limiter is safe for concurrent use.
 type Limiter struct {
-	ports  Ports
-	keeper *quota.Keeper
-	fleet  atomic.Pointer[quota.Fleet]
-	calls  *calls.Calls[*Answer]
+	ports   Ports
+	buckets *quota.Keeper
+	fleet   atomic.Pointer[quota.Fleet]
+	calls   *calls.Calls[*Answer]
 
 	mutex sync.Mutex
-	// denied is until when subjects have nothing left, by their names.
-	denied map[string]time.Time
+	// deniedUntil is until when recent denials are repeated, by subject.
+	deniedUntil map[string]time.Time
 }
 
-// New returns a limiter that knows no other daemon yet.
+// New returns a limiter without other daemons; SetFleet adds them.
 func New(ports Ports) *Limiter {
-	keeper := quota.NewKeeperInDebt(ports.Debt)
+	buckets := quota.NewKeeperInDebt(ports.Debt)
 	if ports.Opening != nil {
-		keeper = quota.NewKeeperFrom(ports.Opening)
+		buckets = quota.NewKeeperFrom(ports.Opening)
 	}
-	l := &Limiter{ports: ports, keeper: keeper, calls: calls.New[*Answer](), denied: map[string]time.Time{}}
+	l := &Limiter{ports: ports, buckets: buckets, calls: calls.New[*Answer](), deniedUntil: map[string]time.Time{}}
 	l.fleet.Store(quota.NewFleet(ports.Self, nil, 1, 0))
 	return l
 }
@@ -143,39 +145,39 @@
 
 // Take takes the cost of one request.
 func (l *Limiter) Take(ctx context.Context, request Request) Outcome {
-	if left := l.deniedFor(request.Subject); left > request.Within {
+	if left := l.remainingDenial(request.Subject); left > request.Within {
 		return Outcome{Wait: left}
 	}
 	fleet := l.fleet.Load()
 	for _, owner := range fleet.Owners(request.Subject) {
-		if answer, answeredBy, answered := l.follow(ctx, fleet, owner, &request); answered {
-			return l.outcome(request.Subject, answer, answeredBy)
+		if answer, answeredBy, answered := l.queryWithRedirect(ctx, fleet, owner, &request); answered {
+			return l.recordOutcome(request.Subject, answer, answeredBy)
 		}
 	}
 	if l.ports.Strict && !fleet.Lonely {
 		return Outcome{Unsure: true}
 	}
-	if l.keeper.TakeAlone(l.now(), fleet, request.Subject, &request.Limit, request.Cost) {
+	if l.buckets.TakeAlone(l.now(), fleet, request.Subject, &request.Limit, request.Cost) {
 		return Outcome{Granted: true}
 	}
 	return Outcome{Unsure: true}
 }
 
-// follow asks one daemon, and the one that it names instead. It also returns which of them gave the answer.
-func (l *Limiter) follow(
+// queryWithRedirect queries one daemon, and the one that it redirects to. It also returns which of them answered.
+func (l *Limiter) queryWithRedirect(
 	ctx context.Context, fleet *quota.Fleet, owner string, request *Request,
 ) (answer quota.Answer, answeredBy string, answered bool) {
 	answeredBy = owner
-	answer, answered = l.takeFrom(ctx, fleet, answeredBy, request)
+	answer, answered = l.query(ctx, fleet, answeredBy, request)
 	if answered && answer.Owner != "" {
 		answeredBy = answer.Owner
-		answer, answered = l.takeFrom(ctx, fleet, answeredBy, request)
+		answer, answered = l.query(ctx, fleet, answeredBy, request)
 	}
 	return answer, answeredBy, answered && answer.Owner == ""
 }
 
-// takeFrom asks one daemon, which may be this one.
-func (l *Limiter) takeFrom(ctx context.Context, fleet *quota.Fleet, owner string, request *Request) (quota.Answer, bool) {
+// query takes the cost of one request from one daemon, which may be this one.
+func (l *Limiter) query(ctx context.Context, fleet *quota.Fleet, owner string, request *Request) (quota.Answer, bool) {
 	switch {
 	case owner == "" || fleet.Lonely:
 		return quota.Answer{}, false
@@ -192,52 +194,52 @@
 		}})
 	})
 	if !answered {
-		l.noAnswer(ctx, owner, request.Subject)
+		l.backOffFrom(ctx, owner, request.Subject)
 		return quota.Answer{}, false
 	}
 	return quota.Answer{Granted: answer.Granted, Wait: answer.Wait, Owner: answer.Owner}, true
 }
 
-// takeLocal takes the cost of one request from this daemon's keeper.
+// takeLocal takes the cost of one request from this daemon's buckets.
 func (l *Limiter) takeLocal(
 	now time.Time, fleet *quota.Fleet, subject string, limit *quota.Limit, cost float64, within time.Duration,
 ) quota.Answer {
 	if l.ports.OwnerOnly {
-		return l.keeper.TakeAsOwner(now, fleet, subject, limit, cost, within)
+		return l.buckets.TakeAsOwner(now, fleet, subject, limit, cost, within)
 	}
-	return l.keeper.Take(now, fleet, subject, limit, cost, within)
+	return l.buckets.Take(now, fleet, subject, limit, cost, within)
 }
 
-// noAnswer leaves a daemon alone for a while that did not answer in time.
-func (l *Limiter) noAnswer(ctx context.Context, owner, name string) {
+// backOffFrom stops queries to a daemon that did not answer in time, for ownerBackoff.
+func (l *Limiter) backOffFrom(ctx context.Context, owner, name string) {
 	if ctx.Err() != nil {
 		return
 	}
-	l.calls.Rest(owner, restSpan)
-	l.ports.Log("No answer in time.", "daemon", owner, "subject", name, "rest_ms", restSpan.Milliseconds())
+	l.calls.Rest(owner, ownerBackoff)
+	l.ports.Log("Limit owner did not answer in time; not queried during the backoff.", "daemon", owner, "subject", name, "rest_ms", ownerBackoff.Milliseconds())
 }
 
-// outcome passes an answer on, and remembers a denial for a moment.
-func (l *Limiter) outcome(name string, answer quota.Answer, answeredBy string) Outcome {
+// recordOutcome converts an answer to an Outcome, and caches a denial for at most denialTTL.
+func (l *Limiter) recordOutcome(name string, answer quota.Answer, answeredBy string) Outcome {
 	if answer.Granted {
 		return Outcome{Granted: true, Wait: answer.Wait, AnsweredBy: answeredBy}
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.denied[name] = l.now().Add(min(answer.Wait, deniedSpan))
+	l.deniedUntil[name] = l.now().Add(min(answer.Wait, denialTTL))
 	return Outcome{Wait: answer.Wait, AnsweredBy: answeredBy}
 }
 
-// deniedFor is how long a subject has nothing left, as far as was heard a moment ago.
-func (l *Limiter) deniedFor(name string) time.Duration {
+// remainingDenial is how long a recent denial of a subject is still repeated.
+func (l *Limiter) remainingDenial(name string) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.denied[name].Sub(l.now())
+	return l.deniedUntil[name].Sub(l.now())
 }
 
-// Return gives back what was taken a moment ago and is not used. It goes to the owner of now: who
-// gave it out is not kept, and what has been given out by one and comes back to another is free
-// again all the same.
+// Return refunds what was taken a moment ago and is not used. The refund goes to the present owner,
+// as the daemon that granted it is not recorded. What one daemon granted is available again also if
+// another one receives the refund.
 func (l *Limiter) Return(request Request) {
 	fleet := l.fleet.Load()
 	owners := fleet.Owners(request.Subject)
@@ -245,7 +247,7 @@
 		return
 	}
 	if owners[0] == fleet.Self {
-		l.keeper.Return(l.now(), fleet, request.Subject, &request.Limit, request.Cost)
+		l.buckets.Return(l.now(), fleet, request.Subject, &request.Limit, request.Cost)
 		return
 	}
 	if address, found := l.ports.Address(owners[0]); found {
@@ -253,46 +255,46 @@
 	}
 }
 
-// Receive takes in a message of another daemon.
+// Receive processes a message of another daemon.
 func (l *Limiter) Receive(from string, message *Message) {
 	switch {
 	case message.Ask != nil:
-		l.answer(from, message.Ask)
+		l.answerAsk(from, message.Ask)
 	case message.Answer != nil:
 		l.calls.Answered(message.Answer.ID, message.Answer)
 	default:
-		l.claimed(from, message.Claims)
+		l.receiveClaims(from, message.Claims)
 	}
 }
 
-// answer answers another daemon.
-func (l *Limiter) answer(from string, asked *Ask) {
+// answerAsk answers a request of another daemon, or takes its refund.
+func (l *Limiter) answerAsk(from string, ask *Ask) {
 	now, fleet := l.now(), l.fleet.Load()
-	limit := l.limitOf(asked)
-	if asked.Return {
-		l.keeper.Return(now, fleet, asked.Subject, limit, asked.Cost)
+	limit := l.limitOf(ask)
+	if ask.Return {
+		l.buckets.Return(now, fleet, ask.Subject, limit, ask.Cost)
 		return
 	}
 	address, known := l.ports.Address(from)
 	if !known {
 		return
 	}
-	given := l.takeLocal(now, fleet, asked.Subject, limit, asked.Cost, asked.Within)
-	l.ports.Send(address, &Message{Answer: &Answer{ID: asked.ID, Granted: given.Granted, Wait: given.Wait, Owner: given.Owner}})
+	result := l.takeLocal(now, fleet, ask.Subject, limit, ask.Cost, ask.Within)
+	l.ports.Send(address, &Message{Answer: &Answer{ID: ask.ID, Granted: result.Granted, Wait: result.Wait, Owner: result.Owner}})
 }
 
-// limitOf is the limit of a subject as it is known here, or as the daemon that asks knows it if this one
-// does not know the subject yet.
-func (l *Limiter) limitOf(asked *Ask) *quota.Limit {
-	if limit, known := l.ports.Subjects().Rate(asked.Subject); known {
+// limitOf is the limit of a subject by the local configuration, or by the requesting daemon if the
+// subject is not in the local configuration yet.
+func (l *Limiter) limitOf(ask *Ask) *quota.Limit {
+	if limit, known := l.ports.Subjects().Rate(ask.Subject); known {
 		return &limit
 	}
-	return &asked.Limit
+	return &ask.Limit
 }
 
-// SetFleet takes in the daemons of now, and claims the limits that this one has to give out from
-// now on. Nothing is done for each subject if the daemons are as they were: it is called several
-// times a second.
+// SetFleet replaces the snapshot of the fleet, and claims the limits that this daemon has to grant
+// from now on. As it is called several times a second, an unchanged fleet causes no work per
+// subject.
 func (l *Limiter) SetFleet(now time.Time, fleet *quota.Fleet) {
 	previous := l.fleet.Load()
 	if fleet.Equal(previous) {
@@ -300,13 +302,13 @@
 	}
 	if l.ports.OwnerOnly {
 		// Before the new snapshot is used: a request between the two would be granted without the delay.
-		l.keeper.FleetReplaced(now, previous)
+		l.buckets.FleetReplaced(now, previous)
 	}
 	l.fleet.Store(fleet)
 	l.SubjectsChanged(now)
 }
 
-// SubjectsChanged takes in other subjects, or other limits.
+// SubjectsChanged applies a change of the subjects or of their limits.
 func (l *Limiter) SubjectsChanged(now time.Time) {
 	fleet, subjects := l.fleet.Load(), l.ports.Subjects()
 	var owned []string
@@ -315,23 +317,23 @@
 			owned = append(owned, name)
 		}
 	}
-	l.claim(fleet, l.keeper.Own(now, fleet, owned))
-	l.keeper.Forget(func(name string) bool {
+	l.sendClaims(fleet, l.buckets.Own(now, fleet, owned))
+	l.buckets.Forget(func(name string) bool {
 		_, known := subjects.Rate(name)
 		return known
 	})
 }
 
-// Tick notes that this process runs, and claims its limits anew if it did not for a while.
+// Tick records that this process runs, and claims its limits again if it was stalled.
 func (l *Limiter) Tick(now time.Time) {
-	if claims := l.keeper.Tick(now); len(claims) > 0 {
-		l.ports.Log("Stood still.", "subjects", len(claims))
-		l.claim(l.fleet.Load(), claims)
+	if claims := l.buckets.Tick(now); len(claims) > 0 {
+		l.ports.Log("Process was stalled; owned limits are claimed again.", "subjects", len(claims))
+		l.sendClaims(l.fleet.Load(), claims)
 	}
 }
 
-// claim tells those that may be giving out the limits of some subjects that this daemon does now.
-func (l *Limiter) claim(fleet *quota.Fleet, subjects []string) {
+// sendClaims notifies the daemons that may be granting the limits of the subjects that this one does now.
+func (l *Limiter) sendClaims(fleet *quota.Fleet, subjects []string) {
 	byRival := map[string][]string{}
 	for _, name := range subjects {
 		for _, rival := range fleet.Rivals(name) {
@@ -344,25 +346,25 @@
 		}
 	}
 	if len(subjects) > 0 {
-		named := subjects[:min(len(subjects), claimsNamed)]
-		l.ports.Log("Claimed.", "count", len(subjects), "subjects", strings.Join(named, ","), "part", fleet.Part, "daemons", fleet.Daemons)
+		named := subjects[:min(len(subjects), maxLoggedSubjects)]
+		l.ports.Log("Limits claimed as their owner.", "count", len(subjects), "subjects", strings.Join(named, ","), "part", fleet.Part, "daemons", fleet.Daemons)
 	}
 }
 
-// claimed takes in the claim of another daemon: the one that comes first in a subject's order
-// gives out its limit, and the other one hears so.
-func (l *Limiter) claimed(from string, subjects []string) {
+// receiveClaims processes the claims of another daemon. The one that comes first in a subject's order
+// grants its limit: if that is this daemon, it answers with a claim of its own.
+func (l *Limiter) receiveClaims(from string, subjects []string) {
 	now, fleet := l.now(), l.fleet.Load()
-	var kept []string
+	var retained []string
 	for _, name := range subjects {
 		switch {
 		case fleet.Precedes(from, name):
-			l.keeper.Yield(now, name, from)
+			l.buckets.Yield(now, name, from)
 		case fleet.RoleOf(name) == quota.RoleOwner:
-			kept = append(kept, name)
+			retained = append(retained, name)
 		}
 	}
-	if address, known := l.ports.Address(from); known && len(kept) > 0 {
-		l.ports.Send(address, &Message{Claims: kept})
+	if address, known := l.ports.Address(from); known && len(retained) > 0 {
+		l.ports.Send(address, &Message{Claims: retained})
 	}
 }
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -15,30 +15,30 @@
 	"github.com/wheatweir/wheatweir/tenant"
 )
 
-// network joins limiters by their names, which are their addresses as well.
+// network connects limiters by their names, which are also their addresses.
 type network struct {
 	limiters map[string]*Limiter
 	mutex    sync.Mutex
-	// lost are the daemons that hear nothing.
-	lost map[string]bool
-	// machine is the clock of all daemons.
-	machine *clock.Fake
+	// unreachable are the daemons that receive no messages.
+	unreachable map[string]bool
+	// machineClock is the clock of all daemons.
+	machineClock *clock.Fake
 }
 
-const messageTime = time.Millisecond
+const messageDelay = time.Millisecond
 
 func newNetwork(daemons int, limit tenant.Limit) *network {
-	n := &network{limiters: map[string]*Limiter{}, lost: map[string]bool{}, machine: clock.NewFake()}
+	n := &network{limiters: map[string]*Limiter{}, unreachable: map[string]bool{}, machineClock: clock.NewFake()}
 	table := tenant.NewTable([]tenant.Tenant{{Name: "acme", Limit: limit}})
 	var members []member.Member
 	for i := range daemons {
 		members = append(members, member.Member{Name: fmt.Sprint("d", i)})
 	}
-	for _, known := range members {
-		self := known.Name
+	for _, m := range members {
+		self := m.Name
 		n.limiters[self] = New(Ports{
 			Self:     self,
-			Now:      n.machine.Now,
+			Now:      n.machineClock.Now,
 			Address:  func(name string) (string, bool) { return name, n.limiters[name] != nil },
 			Send:     func(address string, message *Message) { n.send(self, address, message) },
 			Subjects: func() Subjects { return table },
@@ -46,51 +46,52 @@
 		})
 	}
 	for _, l := range n.limiters {
-		l.SetFleet(n.machine.Now(), quota.NewFleet(l.ports.Self, members, 1, time.Minute))
+		l.SetFleet(n.machineClock.Now(), quota.NewFleet(l.ports.Self, members, 1, time.Minute))
 	}
 	return n
 }
 
 func (n *network) send(from, to string, message *Message) {
-	time.AfterFunc(messageTime, func() {
-		if !n.isLost(to) {
+	time.AfterFunc(messageDelay, func() {
+		if !n.isUnreachable(to) {
 			n.limiters[to].Receive(from, message)
 		}
 	})
 }
 
-// run lets time pass, in which all daemons do what is due.
-func (n *network) run(span time.Duration) {
-	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+// run advances the time, in which all daemons run their periodic work.
+func (n *network) run(duration time.Duration) {
+	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for _, l := range n.limiters {
-			l.Tick(n.machine.Now())
+			l.Tick(n.machineClock.Now())
 		}
 	}
 }
 
-func (n *network) isLost(name string) bool {
+func (n *network) isUnreachable(name string) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.lost[name]
+	return n.unreachable[name]
 }
 
-func (n *network) lose(name string) {
+func (n *network) disconnect(name string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.lost[name] = true
+	n.unreachable[name] = true
 }
 
 func (n *network) take(at string, cost float64) Outcome {
 	return n.limiters[at].Take(context.Background(), n.request(cost))
 }
 
-// request is a request that uses a part of the limit.
+// request returns a request that uses a part of the limit.
 func (n *network) request(cost float64) Request {
 	limit, _ := n.limiters["d0"].ports.Subjects().Rate("acme")
 	return Request{Subject: "acme", Limit: limit, Cost: cost}
 }
 
-// owner is the daemon that keeps the limit, and the last one that would.
+// owner returns the daemon that owns the limit, and one that is neither the owner nor a stand-in, or else the last
+// stand-in.
 func (n *network) owner() (owner, other string) {
 	owners := n.limiters["d0"].fleet.Load().Owners("acme")
 	for name := range n.limiters {
@@ -101,8 +102,8 @@
 	return owners[0], owners[len(owners)-1]
 }
 
-// TestAllDaemonsTakeFromOneLimit has every daemon of a fleet ask: together they get what one bucket
-// gives out.
+// TestAllDaemonsTakeFromOneLimit sends requests at every daemon of a fleet: together they are
+// granted what one bucket grants.
 func TestAllDaemonsTakeFromOneLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(5, tenant.Limit{PerSecond: 10, Burst: 4})
@@ -113,45 +114,45 @@
 				if outcome := n.take(name, 1); outcome.Granted {
 					granted++
 				} else if outcome.Unsure || outcome.Wait <= 0 {
-					t.Fatalf("%s gets %+v", name, outcome)
+					t.Fatalf("%s: got %+v, want a denial with a wait", name, outcome)
 				}
 			}
 		}
 		if granted < 5 || granted > 7 {
-			t.Errorf("%d granted of a burst of four", granted)
+			t.Errorf("%d granted of a burst of four, want 5 to 7", granted)
 		}
 	})
 }
 
-// TestStandInAnswersForALostOwner loses the owner: the next daemon gives out a part, and the owner
-// is not asked again for a while.
+// TestStandInAnswersForALostOwner disconnects the owner: the next daemon grants a part, and the
+// owner is not queried again during the backoff.
 func TestStandInAnswersForALostOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(5, tenant.Limit{PerSecond: 10, Burst: 4})
 		n.run(time.Second)
 		owner, other := n.owner()
-		n.lose(owner)
+		n.disconnect(owner)
 		began := time.Now()
 		if outcome := n.take(other, 1); !outcome.Granted || time.Since(began) < answerTimeout {
-			t.Fatalf("%+v after %v", outcome, time.Since(began))
+			t.Fatalf("got %+v after %v, want a grant after the timeout", outcome, time.Since(began))
 		}
 		began = time.Now()
 		n.take(other, 1)
 		if took := time.Since(began); took >= answerTimeout {
-			t.Errorf("the lost owner is asked again: %v", took)
+			t.Errorf("the unreachable owner is queried again: took %v", took)
 		}
 	})
 }
 
-// TestAloneOnlyAPartIsGranted has a daemon that nobody answers: it grants less than its even share,
-// and says that it cannot tell.
+// TestAloneOnlyAPartIsGranted disconnects all daemons but one. That one grants less than its even
+// share, and reports the other requests as undecided.
 func TestAloneOnlyAPartIsGranted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(5, tenant.Limit{PerSecond: 10, Burst: 10})
 		_, other := n.owner()
 		for name := range n.limiters {
 			if name != other {
-				n.lose(name)
+				n.disconnect(name)
 			}
 		}
 		granted := 0
@@ -160,51 +161,51 @@
 			case outcome.Granted:
 				granted++
 			case !outcome.Unsure:
-				t.Fatalf("%+v", outcome)
+				t.Fatalf("got %+v, want a grant or an undecided outcome", outcome)
 			}
 		}
 		if share := 10.0 * 10 / 5; granted == 0 || float64(granted) > share {
-			t.Errorf("%d granted, an even share is %.0f", granted, share)
+			t.Errorf("%d granted, want some but at most the even share of %.0f", granted, share)
 		}
 	})
 }
 
-// TestUnusedIsGivenBack takes all there is and gives it back.
+// TestUnusedIsGivenBack takes the whole burst and returns it: returned units must be granted again.
 func TestUnusedIsGivenBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(3, tenant.Limit{PerSecond: 1, Burst: 4})
 		n.run(5 * time.Second)
 		_, other := n.owner()
 		if !n.take(other, 5).Granted || n.take(other, 1).Granted {
-			t.Fatal("a bucket in debt grants more")
+			t.Fatal("the first request is denied, or a bucket with a negative level grants another")
 		}
 		n.limiters[other].Return(n.request(5))
-		n.run(2 * deniedSpan)
+		n.run(2 * denialTTL)
 		if !n.take(other, 1).Granted {
-			t.Error("what was given back is not there")
+			t.Error("returned units are not granted again")
 		}
 	})
 }
 
-// TestSuspendedOwnerGivesOutNothingAtOnce covers a machine that was suspended: what its limits would have saved
-// up meanwhile may have been given out by others. The first thing that it does after waking is to
-// answer a request, before any tick.
+// TestSuspendedOwnerGivesOutNothingAtOnce covers an owner on a machine that was suspended: other daemons may have
+// granted the units that its limits accumulated in the meantime. After the machine resumes, the owner answers a
+// request before any tick.
 func TestSuspendedOwnerGivesOutNothingAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(3, tenant.Limit{PerSecond: 100, Burst: 100})
 		n.run(5 * time.Second)
 		owner, _ := n.owner()
-		n.machine.Sleep(5 * time.Second)
-		// One request may put the limit into debt.
+		n.machineClock.Sleep(5 * time.Second)
+		// One request may make the level of the bucket negative.
 		if !n.take(owner, 60).Granted {
-			t.Error("the limit is in debt")
+			t.Error("the first request after the suspension is denied")
 		}
 		if n.take(owner, 40).Granted {
-			t.Error("a second's worth is given out at the moment of waking")
+			t.Error("the units of a second are granted at once after the suspension")
 		}
 		n.run(2 * time.Second)
 		if !n.take(owner, 50).Granted {
-			t.Error("nothing is given out two seconds later")
+			t.Error("nothing is granted two seconds later")
 		}
 	})
 }
