--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -86,9 +86,9 @@
 	Send    func(address string, message *Message)
 	// Subjects returns the present subjects.
 	Subjects func() Subjects
-	// Strict prevents a daemon that reaches others from granting a part of its own when no owner of a limit
-	// answers. With limits of a few requests a second, the parts that a large fleet accumulates so exceed
-	// the limit.
+	// Strict prevents a daemon that reaches others from granting a part of its own when neither the owner of a
+	// limit nor a stand-in answers. With limits of a few requests a second, the parts that a large fleet
+	// accumulates so exceed the limit.
 	Strict bool
 	// OwnerOnly has a daemon answer with quota.Keeper.TakeAsOwner: a stand-in redirects to the owner that it can
 	// reach, and a new owner denies requests at first. Daemons that reach each other then never grant one limit
--- a/quota/buckets.go
+++ b/quota/buckets.go
@@ -119,8 +119,8 @@
 	return claims
 }
 
-// detectStall empties all buckets after a stall, at the first call of any method: other daemons
-// may have granted the tokens that accumulated in the meantime.
+// detectStall empties all buckets except the local ones after a stall, at the first call that
+// observes it: other daemons may have granted the tokens that accumulated in the meantime.
 func (k *Keeper) detectStall(now time.Time) {
 	if !k.lastActiveAt.IsZero() && now.Sub(k.lastActiveAt) > stallThreshold {
 		k.stalled, k.resumedAt = true, now
@@ -170,8 +170,8 @@
 	}
 }
 
-// bucket returns the bucket of a subject for a role. It begins at the initial level if it is new, if the role changes,
-// or if a stand-in has not used it for standInIdleTTL.
+// bucket returns the bucket of a subject for a role. A new bucket begins at the initial level. An existing one is lowered
+// to at most that level if the role changes, or if a stand-in has not used it for standInIdleTTL.
 func (k *Keeper) bucket(now time.Time, name string, role Role) *bucket {
 	existing := k.buckets[name]
 	if existing == nil {
--- a/quota/ownership.go
+++ b/quota/ownership.go
@@ -3,7 +3,7 @@
 import "time"
 
 // ownershipDelay is how long a daemon must have owned a limit, by its own snapshots of the fleet, before TakeAsOwner
-// grants any of it. It allows for the time to detect the previous owner, and for a starting fleet to form.
+// grants any of it. In that time it can discover that the previous owner still runs, and a starting fleet can form.
 const ownershipDelay = time.Second
 
 // previousFleet is a snapshot of the fleet that was replaced by a newer one.
