--- a/member/clock_test.go
+++ b/member/clock_test.go
@@ -9,16 +9,16 @@
 )
 
 // restart replaces a daemon by a new process of it whose time of day is wrong by a span.
-func (g *group) restart(index int, wrong time.Duration, self func(*member.Member)) {
+func (g *group) restart(index int, clockOffset time.Duration, self func(*member.Member)) {
 	next := member.Member{
-		Name: fmt.Sprintf("d%d", index), PeerAddress: address(index), Incarnation: uint64(g.now.Add(wrong).UnixMilli()),
+		Name: fmt.Sprintf("d%d", index), PeerAddress: address(index), Incarnation: uint64(g.now.Add(clockOffset).UnixMilli()),
 	}
 	if self != nil {
 		self(&next)
 	}
 	g.detectors[index] = member.NewDetector(next, member.DefaultSettings(), g.random)
 	g.detectors[index].SetSeeds([]string{address(0), address(1)})
-	g.off[index] = false
+	g.stopped[index] = false
 }
 
 // TestRestartWithAClockThatWentBack covers a daemon whose time of day jumped back before it was
@@ -26,7 +26,7 @@
 // kill or a death that the others have noticed, and at another address. They take the new process
 // for what it says of itself within five seconds.
 func TestRestartWithAClockThatWentBack(t *testing.T) {
-	const wrong = -100 * time.Second
+	const clockOffset = -100 * time.Second
 	cases := []struct {
 		name string
 		end  func(g *group)
@@ -38,7 +38,7 @@
 			g.run(time.Second)
 		}, nil},
 		{"after its death is known", func(g *group) {
-			g.off[3] = true
+			g.stopped[3] = true
 			g.run(30 * time.Second)
 		}, nil},
 		{"reachable for callers elsewhere", func(*group) {}, func(self *member.Member) { self.CallerAddress = "elsewhere" }},
@@ -48,9 +48,9 @@
 			g := newGroup(9, 1)
 			g.run(20 * time.Second)
 			c.end(g)
-			g.off[3] = true
+			g.stopped[3] = true
 			g.run(step)
-			g.restart(3, wrong, c.self)
+			g.restart(3, clockOffset, c.self)
 			g.run(5 * time.Second)
 			for index, detector := range g.detectors {
 				known, found := detector.Lookup("d3")
--- a/member/detector.go
+++ b/member/detector.go
@@ -14,17 +14,17 @@
 	members  map[string]*entry
 	backEnds map[string]BackEnd
 
-	memberNews  newsQueue[Member]
-	backEndNews newsQueue[BackEnd]
+	memberUpdates  updateQueue[Member]
+	backEndUpdates updateQueue[BackEnd]
 
-	rumorAt    time.Time
-	probeOrder []string
-	nextProbe  time.Time
-	interval   int
-	sequence   uint64
-	probe      probe
-	relayed    map[uint64]relay
-	seeds      []string
+	lastRumorAt   time.Time
+	probeOrder    []string
+	nextProbe     time.Time
+	intervalCount int
+	sequence      uint64
+	probe         probe
+	relayedProbes map[uint64]relayedProbe
+	seeds         []string
 
 	// live caches the sorted names of members that are not dead.
 	live      []string
@@ -36,31 +36,31 @@
 	digest       digest
 	lastExchange time.Time
 	// agreed counts the daemons in a row that were heard to know the same members.
-	agreed int
+	consecutiveAgreements int
 	// receivedAll is set once a full answer has arrived since this daemon started.
-	receivedAll bool
+	receivedFullState bool
 }
 
 type entry struct {
 	Member
 	since time.Time
 	// informed is the incarnation that was last sent everything that is known here.
-	informed uint64
+	fullStateIncarnation uint64
 }
 
 // NewDetector returns a detector that knows only itself.
 func NewDetector(self Member, settings Settings, random *rand.Rand) *Detector {
 	detector := &Detector{
-		settings:  settings,
-		random:    random,
-		self:      self,
-		members:   map[string]*entry{},
-		backEnds:  map[string]BackEnd{},
-		relayed:   map[uint64]relay{},
-		liveStale: true,
+		settings:      settings,
+		random:        random,
+		self:          self,
+		members:       map[string]*entry{},
+		backEnds:      map[string]BackEnd{},
+		relayedProbes: map[uint64]relayedProbe{},
+		liveStale:     true,
 	}
 	detector.digest.replace(nil, &self)
-	detector.memberNews.add(self.Name, self, false)
+	detector.memberUpdates.add(self.Name, self, false)
 	return detector
 }
 
@@ -84,12 +84,12 @@
 // announceSelf tells the others of this daemon, which was known as before.
 func (d *Detector) announceSelf(before Member) {
 	d.digest.replace(&before, &d.self)
-	d.memberNews.add(d.self.Name, d.self, true)
-	d.changed()
+	d.memberUpdates.add(d.self.Name, d.self, true)
+	d.recordChange()
 }
 
-func (d *Detector) changed() {
+func (d *Detector) recordChange() {
 	d.liveStale = true
-	d.agreed = 0
+	d.consecutiveAgreements = 0
 	d.revision++
 }
--- a/member/detector_test.go
+++ b/member/detector_test.go
@@ -17,7 +17,7 @@
 type group struct {
 	now       time.Time
 	detectors []*member.Detector
-	off       []bool
+	stopped   []bool
 	cut       map[[2]int]bool
 	queue     []member.Packet
 	random    *rand.Rand
@@ -25,7 +25,7 @@
 	// zones is in how many zones the detectors made from now on are, by turns; one if it is zero.
 	zones int
 	// rumors counts the rumors sent, and farRumors those to another zone.
-	rumors, farRumors int
+	rumors, crossZoneRumors int
 }
 
 const step = 100 * time.Millisecond
@@ -34,7 +34,7 @@
 
 func newGroup(size int, seed uint64) *group {
 	g := &group{
-		now: time.Unix(1000, 0), off: make([]bool, size), cut: map[[2]int]bool{},
+		now: time.Unix(1000, 0), stopped: make([]bool, size), cut: map[[2]int]bool{},
 		random: rand.New(rand.NewPCG(seed, 1)),
 	}
 	for index := range size {
@@ -69,10 +69,10 @@
 		if packet.Message.Kind == member.Rumor {
 			g.rumors++
 			if g.zoneOf(from) != g.zoneOf(to) {
-				g.farRumors++
+				g.crossZoneRumors++
 			}
 		}
-		if to < 0 || g.off[to] || g.cut[[2]int{from, to}] || g.random.Float64() < g.loss {
+		if to < 0 || g.stopped[to] || g.cut[[2]int{from, to}] || g.random.Float64() < g.loss {
 			continue
 		}
 		g.queue = append(g.queue, packet)
@@ -85,12 +85,12 @@
 		g.queue = nil
 		for _, packet := range arriving {
 			to := g.indexOf(packet.Address)
-			if !g.off[to] {
+			if !g.stopped[to] {
 				g.send(to, g.detectors[to].Receive(g.now, packet.Message))
 			}
 		}
 		for index, detector := range g.detectors {
-			if !g.off[index] {
+			if !g.stopped[index] {
 				g.send(index, detector.Tick(g.now))
 			}
 		}
@@ -104,7 +104,7 @@
 }, want func(index int) bool) {
 	t.Helper()
 	for index, detector := range g.detectors {
-		if g.off[index] {
+		if g.stopped[index] {
 			continue
 		}
 		live := map[string]bool{}
@@ -130,17 +130,17 @@
 		want  func(index int) bool
 	}{
 		{"none", func(*group) {}, all},
-		{"one dies", func(g *group) { g.off[3] = true }, func(index int) bool { return index != 3 }},
-		{"two die at once", func(g *group) { g.off[3], g.off[4] = true, true }, func(index int) bool { return index < 3 || index > 4 }},
+		{"one dies", func(g *group) { g.stopped[3] = true }, func(index int) bool { return index != 3 }},
+		{"two die at once", func(g *group) { g.stopped[3], g.stopped[4] = true, true }, func(index int) bool { return index < 3 || index > 4 }},
 		{"a long pause", func(g *group) {
-			g.off[2] = true
+			g.stopped[2] = true
 			g.run(settle)
-			g.off[2] = false
+			g.stopped[2] = false
 		}, all},
 		{"a restart without memory", func(g *group) {
-			g.off[2] = true
+			g.stopped[2] = true
 			g.run(5 * time.Second)
-			g.detectors[2], g.off[2] = g.newDetector(2), false
+			g.detectors[2], g.stopped[2] = g.newDetector(2), false
 		}, all},
 		{"one link cut", func(g *group) { g.cut[[2]int{1, 2}], g.cut[[2]int{2, 1}] = true, true }, all},
 		{"one link cut one way", func(g *group) { g.cut[[2]int{1, 2}] = true }, all},
@@ -192,11 +192,11 @@
 		state member.BackEndState
 	}
 	cases := []struct {
-		name   string
-		first  observation
-		second observation
-		news   bool
-		want   member.BackEndState
+		name    string
+		first   observation
+		second  observation
+		changed bool
+		want    member.BackEndState
 	}{
 		{"the same again is no news", observation{"b1", up}, observation{"b1", up}, false, up},
 		{"down after up", observation{"b1", up}, observation{"b1", down}, true, down},
@@ -209,9 +209,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			detector := newGroup(1, 1).detectors[0]
 			detector.ObserveBackEnd("e", c.first.boot, c.first.state)
-			news := detector.ObserveBackEnd("e", c.second.boot, c.second.state)
-			if got, _ := detector.BackEnd("e"); got.State != c.want || news != c.news {
-				t.Fatalf("state %s news %v, want %s %v", got.State, news, c.want, c.news)
+			changed := detector.ObserveBackEnd("e", c.second.boot, c.second.state)
+			if got, _ := detector.BackEnd("e"); got.State != c.want || changed != c.changed {
+				t.Fatalf("state %s news %v, want %s %v", got.State, changed, c.want, c.changed)
 			}
 		})
 	}
@@ -224,11 +224,11 @@
 	g.run(20 * time.Second)
 	g.detectors[0].ObserveBackEnd("e", "b1", member.BackEndUp)
 	g.run(20 * time.Second)
-	g.off[4] = true
+	g.stopped[4] = true
 	g.run(5 * time.Second)
 	g.detectors[1].ObserveBackEnd("e", "b1", member.BackEndDown)
 	g.run(300 * time.Second)
-	g.off[4] = false
+	g.stopped[4] = false
 	g.run(60 * time.Second)
 	if got, _ := g.detectors[4].BackEnd("e"); got.State != member.BackEndDown {
 		t.Fatalf("state %s after the pause", got.State)
@@ -264,9 +264,9 @@
 			other := rapid.IntRange(0, 4).Draw(t, "other")
 			switch rapid.IntRange(0, 3).Draw(t, "fault") {
 			case 0:
-				g.off[victim] = !g.off[victim]
+				g.stopped[victim] = !g.stopped[victim]
 			case 1:
-				g.detectors[victim], g.off[victim] = g.newDetector(victim), false
+				g.detectors[victim], g.stopped[victim] = g.newDetector(victim), false
 			case 2:
 				g.cut[[2]int{victim, other}] = true
 			case 3:
@@ -276,7 +276,7 @@
 		}
 		clear(g.cut)
 		g.run(90 * time.Second)
-		g.requireLive(t, func(index int) bool { return !g.off[index] })
+		g.requireLive(t, func(index int) bool { return !g.stopped[index] })
 	})
 }
 
@@ -301,7 +301,7 @@
 	for seed := range uint64(10) {
 		g := newGroup(size, seed)
 		g.run(34 * time.Second)
-		g.off[victim] = true
+		g.stopped[victim] = true
 		g.run(4 * member.DefaultSettings().ProbeInterval)
 		if unaware := g.unaware(victim); unaware > 0 {
 			t.Errorf("seed %d: %d of %d daemons still hold it for alive", seed, unaware, size-1)
@@ -317,18 +317,18 @@
 		g := newGroup(0, seed)
 		g.zones = 5
 		for index := range size {
-			g.off = append(g.off, false)
+			g.stopped = append(g.stopped, false)
 			g.detectors = append(g.detectors, g.newDetector(index))
 		}
 		g.run(34 * time.Second)
-		g.rumors, g.farRumors = 0, 0
-		g.off[victim] = true
+		g.rumors, g.crossZoneRumors = 0, 0
+		g.stopped[victim] = true
 		g.run(5 * member.DefaultSettings().ProbeInterval)
 		if unaware := g.unaware(victim); unaware > 0 {
 			t.Errorf("seed %d: %d of %d daemons still hold it for alive", seed, unaware, size-1)
 		}
-		if g.rumors < size || g.farRumors*4 > g.rumors {
-			t.Errorf("seed %d: %d of %d rumors go to another zone", seed, g.farRumors, g.rumors)
+		if g.rumors < size || g.crossZoneRumors*4 > g.rumors {
+			t.Errorf("seed %d: %d of %d rumors go to another zone", seed, g.crossZoneRumors, g.rumors)
 		}
 	}
 }
@@ -344,15 +344,15 @@
 		t.Fatalf("%d messages after the stop began", len(packets))
 	}
 	for _, packet := range packets {
-		told := map[string]bool{}
-		for _, news := range packet.Message.Members {
-			if told[news.Name] {
-				t.Errorf("%s is told twice in one message", news.Name)
+		included := map[string]bool{}
+		for _, update := range packet.Message.Members {
+			if included[update.Name] {
+				t.Errorf("%s is told twice in one message", update.Name)
 			}
-			told[news.Name] = true
+			included[update.Name] = true
 		}
-		if !told["d0"] {
-			t.Errorf("a message after the stop began does not tell of it: %v", told)
+		if !included["d0"] {
+			t.Errorf("a message after the stop began does not tell of it: %v", included)
 		}
 	}
 }
@@ -372,8 +372,8 @@
 	joiner := g.newDetector(1)
 	g.detectors[1] = joiner
 	g.cut[[2]int{1, 2}], g.cut[[2]int{2, 1}] = true, true
-	greeting := member.Message{Kind: member.Ping, Sequence: 1 << 40, Sender: g.detectors[0].Self()}
-	for _, ack := range joiner.Receive(g.now, greeting) {
+	ping := member.Message{Kind: member.Ping, Sequence: 1 << 40, Sender: g.detectors[0].Self()}
+	for _, ack := range joiner.Receive(g.now, ping) {
 		g.detectors[0].Receive(g.now, ack.Message)
 	}
 	first := joiner.Tell("d0")
@@ -382,7 +382,7 @@
 	}
 	g.run(3 * time.Second)
 	for engine := range 20 {
-		if _, heard := joiner.BackEnd(fmt.Sprint("engine-", engine)); !heard {
+		if _, found := joiner.BackEnd(fmt.Sprint("engine-", engine)); !found {
 			t.Errorf("the joiner has no state for engine-%d", engine)
 		}
 	}
@@ -402,15 +402,15 @@
 	g.detectors[2] = g.newDetector(2)
 	g.run(3 * time.Second)
 	joiner := g.newDetector(1)
-	greeting := member.Message{Kind: member.Ping, Sequence: 1 << 40, Sender: g.detectors[0].Self()}
-	for _, answer := range joiner.Receive(g.now, greeting) {
+	ping := member.Message{Kind: member.Ping, Sequence: 1 << 40, Sender: g.detectors[0].Self()}
+	for _, answer := range joiner.Receive(g.now, ping) {
 		g.detectors[0].Receive(g.now, answer.Message)
 	}
 	g.detectors[1] = joiner
 	g.cut[[2]int{1, 2}] = true
 	g.run(2 * time.Second)
 	for engine := range 20 {
-		if _, heard := joiner.BackEnd(fmt.Sprint("engine-", engine)); !heard {
+		if _, found := joiner.BackEnd(fmt.Sprint("engine-", engine)); !found {
 			t.Errorf("the joiner was not told of engine-%d", engine)
 		}
 	}
--- a/member/digest.go
+++ b/member/digest.go
@@ -48,8 +48,8 @@
 // sum is one number for all of it.
 func (g *digest) sum() uint64 {
 	total := g.backEnds
-	for place, bucket := range g.buckets {
-		total += uint64(bucket) * (2*uint64(place) + 1)
+	for index, bucket := range g.buckets {
+		total += uint64(bucket) * (2*uint64(index) + 1)
 	}
 	return total
 }
@@ -58,8 +58,8 @@
 func (g *digest) foldedBuckets(groupSize int) []uint32 {
 	count := min(digestBuckets, 1<<bits.Len(uint(groupSize/membersPerBucket)))
 	folded := make([]uint32, count)
-	for place, bucket := range g.buckets {
-		folded[place%count] += bucket
+	for index, bucket := range g.buckets {
+		folded[index%count] += bucket
 	}
 	return folded
 }
@@ -69,17 +69,17 @@
 	if len(other) == 0 || digestBuckets%len(other) != 0 {
 		return nil
 	}
-	differ := map[int]bool{}
+	differingBuckets := map[int]bool{}
 	own := make([]uint32, len(other))
-	for place, bucket := range g.buckets {
-		own[place%len(other)] += bucket
+	for index, bucket := range g.buckets {
+		own[index%len(other)] += bucket
 	}
-	for place := range own {
-		if own[place] != other[place] {
-			differ[place] = true
+	for index := range own {
+		if own[index] != other[index] {
+			differingBuckets[index] = true
 		}
 	}
-	return differ
+	return differingBuckets
 }
 
 func bucketOf(name string) int { return int(xxhash.Sum64String(name) % digestBuckets) }
--- a/member/exchange_test.go
+++ b/member/exchange_test.go
@@ -12,7 +12,7 @@
 )
 
 // knowing returns a detector that has heard of so many members, of which some have started anew since.
-func knowing(name string, count, restarted int) *member.Detector {
+func detectorWithMembers(name string, count, restarted int) *member.Detector {
 	self := member.Member{Name: name, Zone: "z", PeerAddress: name, Incarnation: 1}
 	detector := member.NewDetector(self, member.DefaultSettings(), rand.New(rand.NewPCG(1, 2)))
 	for i := range count {
@@ -26,7 +26,7 @@
 }
 
 // bytesOf is the size of a message as it is sent.
-func bytesOf(t *testing.T, message member.Message) int {
+func encodedSize(t *testing.T, message member.Message) int {
 	t.Helper()
 	body, err := msgpack.Marshal(&message)
 	if err != nil {
@@ -39,8 +39,8 @@
 // against answers that tell everything, which in a fleet of 1,000 are 90 kB a second for each daemon while some members
 // come and go.
 func TestDaemonsThatDifferExchangeTheDifference(t *testing.T) {
-	const members, restarted, mostBytes = 1000, 10, 12000
-	a, b := knowing("a", members, 0), knowing("b", members, restarted)
+	const members, restarted, maxBytes = 1000, 10, 12000
+	a, b := detectorWithMembers("a", members, 0), detectorWithMembers("b", members, restarted)
 	now := time.Unix(1100, 0)
 	// They have told each other everything when they joined.
 	for _, pair := range [][2]*member.Detector{{a, b}, {b, a}} {
@@ -55,7 +55,7 @@
 		}
 		var answers []member.Packet
 		for _, packet := range sent {
-			total += bytesOf(t, packet.Message)
+			total += encodedSize(t, packet.Message)
 			answers = append(answers, receiver.Receive(now, packet.Message)...)
 		}
 		sent = answers
@@ -65,14 +65,14 @@
 			t.Errorf("d%d is known by its incarnation %d", i, known.Incarnation)
 		}
 	}
-	if total > mostBytes {
-		t.Errorf("%d bytes, at most %d wanted", total, mostBytes)
+	if total > maxBytes {
+		t.Errorf("%d bytes, at most %d wanted", total, maxBytes)
 	}
 }
 
 // BenchmarkNewsAfterACommonStart sends messages while all members of a large group are news.
 func BenchmarkNewsAfterACommonStart(b *testing.B) {
-	detector := knowing("a", 1000, 0)
+	detector := detectorWithMembers("a", 1000, 0)
 	now := time.Unix(1100, 0)
 	sender, _ := detector.Lookup("d1")
 	for b.Loop() {
--- a/member/merge.go
+++ b/member/merge.go
@@ -8,43 +8,43 @@
 
 // Receive takes in a message and returns the messages to send in answer.
 func (d *Detector) Receive(now time.Time, message Message) []Packet {
-	differ := d.digest.differing(message.Buckets)
+	differingBuckets := d.digest.differing(message.Buckets)
 	d.merge(now, message.Sender)
-	for _, news := range message.Members {
-		d.merge(now, news)
+	for _, update := range message.Members {
+		d.merge(now, update)
 	}
-	for _, news := range message.BackEnds {
-		d.mergeBackEnd(news)
+	for _, update := range message.BackEnds {
+		d.mergeBackEnd(update)
 	}
-	d.receivedAll = d.receivedAll || message.Complete
-	d.noteAgreement(message.Digest)
+	d.receivedFullState = d.receivedFullState || message.Complete
+	d.recordAgreement(message.Digest)
 	switch message.Kind {
 	case Ping:
 		return []Packet{{message.Sender.PeerAddress, d.ackFor(now, message)}}
 	case PingRequest:
 		d.sequence++
-		d.relayed[d.sequence] = relay{message.Sender.PeerAddress, message.Sequence, now}
+		d.relayedProbes[d.sequence] = relayedProbe{message.Sender.PeerAddress, message.Sequence, now}
 		return []Packet{{message.Target, d.message(Ping, d.sequence)}}
 	case Ack:
-		return append(d.acknowledged(message), d.exchange(&message)...)
+		return append(d.handleAck(message), d.startExchange(&message)...)
 	case Exchange:
-		return d.exchanged(&message, differ)
+		return d.handleExchange(&message, differingBuckets)
 	}
 	return nil
 }
 
 // agreedEnough is how many daemons in a row that know the same members say that all do.
-const agreedEnough = 3
+const minConsecutiveAgreements = 3
 
 // noteAgreement takes in whether another daemon knows the same members. News that is not urgent, who has been heard of
 // for the first time, is dropped once several in a row do: whoever lacks it hears it by an exchange.
-func (d *Detector) noteAgreement(told uint64) {
-	if told != d.digest.sum() {
-		d.agreed = 0
+func (d *Detector) recordAgreement(remoteDigest uint64) {
+	if remoteDigest != d.digest.sum() {
+		d.consecutiveAgreements = 0
 		return
 	}
-	if d.agreed++; d.agreed >= agreedEnough {
-		d.memberNews.dropUsual()
+	if d.consecutiveAgreements++; d.consecutiveAgreements >= minConsecutiveAgreements {
+		d.memberUpdates.dropNormal()
 	}
 }
 
@@ -60,12 +60,12 @@
 		// The sender has to hear that, to refute it.
 		ack.Members = append(ack.Members, known.Member)
 	}
-	ack.Complete = d.informed() && message.Digest == ack.Digest
+	ack.Complete = d.hasFullState() && message.Digest == ack.Digest
 	switch {
 	case message.Digest == ack.Digest:
-	case d.informs(message.Sender) || message.Uninformed:
+	case d.markFullStateSent(message.Sender) || message.Uninformed:
 		d.lastExchange = now
-		ack.Complete = d.informed()
+		ack.Complete = d.hasFullState()
 		ack.Members = d.Members()
 		ack.BackEnds = d.allBackEnds()
 	case now.Sub(d.lastExchange) >= d.settings.ExchangeInterval:
@@ -79,103 +79,105 @@
 // informed reports whether this daemon has received everything since it started. After
 // maxUninformedIntervals it returns true regardless: if all daemons start at once, none of them
 // can send a complete answer before that.
-func (d *Detector) informed() bool { return d.receivedAll || d.interval > maxUninformedIntervals }
+func (d *Detector) hasFullState() bool {
+	return d.receivedFullState || d.intervalCount > fullStateTimeoutIntervals
+}
 
 // informs reports whether a member was not sent everything since it joined, and notes that it is.
-func (d *Detector) informs(receiver Member) bool {
+func (d *Detector) markFullStateSent(receiver Member) bool {
 	known := d.members[receiver.Name]
-	if known == nil || known.informed >= receiver.Incarnation {
+	if known == nil || known.fullStateIncarnation >= receiver.Incarnation {
 		return false
 	}
-	known.informed = receiver.Incarnation
+	known.fullStateIncarnation = receiver.Incarnation
 	return true
 }
 
 func (d *Detector) allBackEnds() []BackEnd {
 	all := make([]BackEnd, 0, len(d.backEnds))
-	for _, news := range d.backEnds {
-		all = append(all, news)
+	for _, update := range d.backEnds {
+		all = append(all, update)
 	}
 	slices.SortFunc(all, func(a, b BackEnd) int { return strings.Compare(a.Name, b.Name) })
 	return all
 }
 
-func (d *Detector) acknowledged(message Message) []Packet {
+func (d *Detector) handleAck(message Message) []Packet {
 	if message.Sequence == d.probe.sequence {
-		d.probe.answered = true
+		d.probe.acknowledged = true
 		return nil
 	}
-	asked, found := d.relayed[message.Sequence]
+	pending, found := d.relayedProbes[message.Sequence]
 	if !found {
 		return nil
 	}
-	delete(d.relayed, message.Sequence)
-	return []Packet{{asked.askedBy, d.message(Ack, asked.sequence)}}
+	delete(d.relayedProbes, message.Sequence)
+	return []Packet{{pending.requester, d.message(Ack, pending.sequence)}}
 }
 
 // merge takes in news about one member. Higher incarnations win; at the same
 // incarnation the higher state wins, and a member that is leaving stays so.
-func (d *Detector) merge(now time.Time, news Member) {
-	if news.Name == d.self.Name {
-		d.refute(news)
+func (d *Detector) merge(now time.Time, update Member) {
+	if update.Name == d.self.Name {
+		d.refute(update)
 		return
 	}
-	known, found := d.members[news.Name]
-	if !found && news.State == Dead {
+	known, found := d.members[update.Name]
+	if !found && update.State == Dead {
 		return
 	}
 	if found {
-		if news.Incarnation < known.Incarnation {
+		if update.Incarnation < known.Incarnation {
 			return
 		}
-		if news.Incarnation == known.Incarnation {
-			news.State = max(news.State, known.State)
-			news.Leaving = news.Leaving || known.Leaving
-			if news == known.Member {
+		if update.Incarnation == known.Incarnation {
+			update.State = max(update.State, known.State)
+			update.Leaving = update.Leaving || known.Leaving
+			if update == known.Member {
 				return
 			}
 		}
 	}
-	fresh := &entry{Member: news, since: now}
+	fresh := &entry{Member: update, since: now}
 	if found {
-		d.digest.replace(&known.Member, &news)
+		d.digest.replace(&known.Member, &update)
 	} else {
-		d.digest.replace(nil, &news)
+		d.digest.replace(nil, &update)
 	}
 	if found {
-		fresh.informed = known.informed
-		if news.State == known.State {
+		fresh.fullStateIncarnation = known.fullStateIncarnation
+		if update.State == known.State {
 			fresh.since = known.since
 		}
 	}
-	d.members[news.Name] = fresh
+	d.members[update.Name] = fresh
 	if found && known.State == Dead {
 		d.dead--
 	}
-	if news.State == Dead {
+	if update.State == Dead {
 		d.dead++
 	}
-	if news.State != Dead && (!found || known.State == Dead) {
-		d.joinProbeOrder(news.Name)
+	if update.State != Dead && (!found || known.State == Dead) {
+		d.insertIntoProbeOrder(update.Name)
 	}
 	// Who has just been heard of for the first time matters less than what has changed
 	// at a known member.
-	d.memberNews.add(news.Name, news, found)
-	d.changed()
+	d.memberUpdates.add(update.Name, update, found)
+	d.recordChange()
 }
 
 // refute answers news about this daemon that is not true by a higher incarnation: a suspicion, or
 // what an earlier process of it said under a higher incarnation. That begins at the time of day,
 // which may have gone back since; the new process would else be taken for the old one, which may
 // have been leaving.
-func (d *Detector) refute(news Member) {
-	earlierProcess := news.Incarnation > d.self.Incarnation
-	suspicion := news.Incarnation == d.self.Incarnation && news.State >= Suspect
+func (d *Detector) refute(update Member) {
+	earlierProcess := update.Incarnation > d.self.Incarnation
+	suspicion := update.Incarnation == d.self.Incarnation && update.State >= Suspect
 	if !earlierProcess && !suspicion {
 		return
 	}
 	before := d.self
-	d.self.Incarnation = news.Incarnation + 1
+	d.self.Incarnation = update.Incarnation + 1
 	d.announceSelf(before)
 }
 
@@ -183,31 +185,31 @@
 // it is news: another boot or state than the known one.
 func (d *Detector) ObserveBackEnd(name, boot string, state BackEndState) bool {
 	known, found := d.backEnds[name]
-	news := BackEnd{Name: name, Boot: boot, Change: 1, State: state}
+	update := BackEnd{Name: name, Boot: boot, Change: 1, State: state}
 	if found {
 		if boot < known.Boot || boot == known.Boot && state == known.State {
 			return false
 		}
 		if boot == known.Boot {
-			news.Change = known.Change + 1
+			update.Change = known.Change + 1
 		}
 	}
-	return d.mergeBackEnd(news)
+	return d.mergeBackEnd(update)
 }
 
 // mergeBackEnd takes in news about a back end if it is newer.
-func (d *Detector) mergeBackEnd(news BackEnd) bool {
-	known, found := d.backEnds[news.Name]
+func (d *Detector) mergeBackEnd(update BackEnd) bool {
+	known, found := d.backEnds[update.Name]
 	switch {
-	case found && !news.newer(known):
+	case found && !update.newer(known):
 		return false
 	case found:
-		d.digest.replaceBackEnd(&known, &news)
+		d.digest.replaceBackEnd(&known, &update)
 	default:
-		d.digest.replaceBackEnd(nil, &news)
+		d.digest.replaceBackEnd(nil, &update)
 	}
-	d.backEnds[news.Name] = news
-	d.backEndNews.add(news.Name, news, false)
+	d.backEnds[update.Name] = update
+	d.backEndUpdates.add(update.Name, update, false)
 	d.revision++
 	return true
 }
--- a/member/probe.go
+++ b/member/probe.go
@@ -8,60 +8,60 @@
 
 // deadProbeEvery is how many probe intervals pass between two probes of a dead
 // member, which is how two halves of a healed partition find each other.
-const deadProbeEvery = 5
+const deadProbeIntervals = 5
 
 // deadForgetIntervals is how many probe intervals a dead member is remembered.
-const deadForgetIntervals = 3600
+const deadRetentionIntervals = 3600
 
 // maxUninformedIntervals bounds how many probe intervals after its start a daemon requests everything.
-const maxUninformedIntervals = 10
+const fullStateTimeoutIntervals = 10
 
 // probe is the direct probe under way.
 type probe struct {
-	name     string
-	sequence uint64
-	sentAt   time.Time
-	helped   bool
-	answered bool
+	name             string
+	sequence         uint64
+	sentAt           time.Time
+	helpersRequested bool
+	acknowledged     bool
 }
 
 // relay is a probe made for another member.
-type relay struct {
-	askedBy  string
-	sequence uint64
-	at       time.Time
+type relayedProbe struct {
+	requester string
+	sequence  uint64
+	startedAt time.Time
 }
 
 // Tick advances the detector and returns the messages to send. It should be
 // called a few times in each probe timeout.
 func (d *Detector) Tick(now time.Time) []Packet {
 	var packets []Packet
-	packets = d.askHelpers(now, packets)
-	packets = d.tellRumors(now, packets)
+	packets = d.sendPingRequests(now, packets)
+	packets = d.sendRumors(now, packets)
 	if now.Before(d.nextProbe) {
 		return packets
 	}
-	d.suspectUnanswered(now)
+	d.suspectUnacknowledged(now)
 	d.expireSuspects(now)
 	d.expireRelays(now)
 	d.nextProbe = now.Add(d.settings.ProbeInterval)
-	d.interval++
+	d.intervalCount++
 	packets = d.startProbe(now, packets)
-	if d.interval%deadProbeEvery == 0 {
+	if d.intervalCount%deadProbeIntervals == 0 {
 		packets = d.probeDead(packets)
 	}
 	return d.probeSeed(packets)
 }
 
-func (d *Detector) askHelpers(now time.Time, packets []Packet) []Packet {
+func (d *Detector) sendPingRequests(now time.Time, packets []Packet) []Packet {
 	current := &d.probe
-	if current.name == "" || current.answered || current.helped {
+	if current.name == "" || current.acknowledged || current.helpersRequested {
 		return packets
 	}
 	if now.Sub(current.sentAt) < d.settings.ProbeTimeout {
 		return packets
 	}
-	current.helped = true
+	current.helpersRequested = true
 	target, found := d.members[current.name]
 	if !found {
 		return packets
@@ -87,12 +87,12 @@
 // tellRumors passes urgent news on at once. News that only rides on probes takes
 // seconds to reach a large group, while every daemon that lacks it sends clients to a
 // daemon that is gone.
-func (d *Detector) tellRumors(now time.Time, packets []Packet) []Packet {
-	if now.Sub(d.rumorAt) < d.settings.RumorPause || !d.memberNews.unsent(d.settings.RumorFanOut) {
+func (d *Detector) sendRumors(now time.Time, packets []Packet) []Packet {
+	if now.Sub(d.lastRumorAt) < d.settings.RumorPause || !d.memberUpdates.urgentPending(d.settings.RumorFanOut) {
 		return packets
 	}
-	d.rumorAt = now
-	for _, name := range d.rumorReceivers() {
+	d.lastRumorAt = now
+	for _, name := range d.rumorTargets() {
 		packets = append(packets, Packet{d.members[name].PeerAddress, d.message(Rumor, 0)})
 	}
 	return packets
@@ -101,25 +101,25 @@
 // rumorReceivers draws the members to tell: one of another zone, and the others of the own one as
 // far as there are so many. Each zone then hears of a change from many daemons of the others, and
 // most messages do not cross between zones.
-func (d *Detector) rumorReceivers() []string {
-	var near, far []string
+func (d *Detector) rumorTargets() []string {
+	var sameZone, otherZones []string
 	for _, name := range d.Live() {
 		switch {
 		case name == d.self.Name:
 		case d.members[name].Zone == d.self.Zone:
-			near = append(near, name)
+			sameZone = append(sameZone, name)
 		default:
-			far = append(far, name)
+			otherZones = append(otherZones, name)
 		}
 	}
-	d.random.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
-	d.random.Shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
-	first := min(1, len(far))
-	return slices.Concat(far[:first], near, far[first:])[:min(d.settings.RumorFanOut, len(near)+len(far))]
+	d.random.Shuffle(len(sameZone), func(i, j int) { sameZone[i], sameZone[j] = sameZone[j], sameZone[i] })
+	d.random.Shuffle(len(otherZones), func(i, j int) { otherZones[i], otherZones[j] = otherZones[j], otherZones[i] })
+	first := min(1, len(otherZones))
+	return slices.Concat(otherZones[:first], sameZone, otherZones[first:])[:min(d.settings.RumorFanOut, len(sameZone)+len(otherZones))]
 }
 
-func (d *Detector) suspectUnanswered(now time.Time) {
-	if d.probe.name == "" || d.probe.answered {
+func (d *Detector) suspectUnacknowledged(now time.Time) {
+	if d.probe.name == "" || d.probe.acknowledged {
 		return
 	}
 	known, found := d.members[d.probe.name]
@@ -131,32 +131,32 @@
 	d.merge(now, suspected)
 }
 
-func (d *Detector) suspicionTime() time.Duration {
+func (d *Detector) suspicionTimeout() time.Duration {
 	scale := bits.Len(uint(len(d.members) + 1))
 	return time.Duration(d.settings.SuspicionIntervals*scale) * d.settings.ProbeInterval / 2
 }
 
 func (d *Detector) expireSuspects(now time.Time) {
-	limit := d.suspicionTime()
-	forget := deadForgetIntervals * d.settings.ProbeInterval
-	for _, name := range d.sortedMembers() {
+	timeout := d.suspicionTimeout()
+	retention := deadRetentionIntervals * d.settings.ProbeInterval
+	for _, name := range d.sortedSuspectOrDead() {
 		known := d.members[name]
 		age := now.Sub(known.since)
 		switch {
-		case known.State == Suspect && age >= limit:
+		case known.State == Suspect && age >= timeout:
 			dead := known.Member
 			dead.State = Dead
 			d.merge(now, dead)
-		case known.State == Dead && age >= forget:
+		case known.State == Dead && age >= retention:
 			d.digest.replace(&known.Member, nil)
 			delete(d.members, name)
 			d.dead--
-			d.changed()
+			d.recordChange()
 		}
 	}
 }
 
-func (d *Detector) sortedMembers() []string {
+func (d *Detector) sortedSuspectOrDead() []string {
 	names := make([]string, 0, len(d.members))
 	for name, known := range d.members {
 		if known.State >= Suspect {
@@ -168,9 +168,9 @@
 }
 
 func (d *Detector) expireRelays(now time.Time) {
-	for sequence, asked := range d.relayed {
-		if now.Sub(asked.at) > 2*d.settings.ProbeInterval {
-			delete(d.relayed, sequence)
+	for sequence, pending := range d.relayedProbes {
+		if now.Sub(pending.startedAt) > 2*d.settings.ProbeInterval {
+			delete(d.relayedProbes, sequence)
 		}
 	}
 }
@@ -188,7 +188,7 @@
 
 // target is the member to probe in this interval.
 func (d *Detector) target() string {
-	if d.interval%successorEvery == 1 {
+	if d.intervalCount%successorProbeIntervals == 1 {
 		return d.successor()
 	}
 	return d.nextTarget()
@@ -196,16 +196,16 @@
 
 // successorEvery is how many probe intervals pass between two probes of the member that follows this daemon
 // in the order of names.
-const successorEvery = 2
+const successorProbeIntervals = 2
 
 // successor returns the member that is alive and follows this daemon in the order of names, which all know alike. Each
 // member is thus probed by the one before it at a fixed pace, where random probes of many leave out one in
 // e in each interval, and may do so several times in a row.
 func (d *Detector) successor() string {
 	live := d.Live()
-	place, _ := slices.BinarySearch(live, d.self.Name)
+	index, _ := slices.BinarySearch(live, d.self.Name)
 	for offset := 1; offset <= len(live); offset++ {
-		name := live[(place+offset)%len(live)]
+		name := live[(index+offset)%len(live)]
 		if name != d.self.Name && d.members[name].State == Alive {
 			return name
 		}
@@ -239,7 +239,7 @@
 // joinProbeOrder gives a member that has come up a random place in the round under way. A round takes as many
 // intervals as there are members: one that has come up since it began would not be probed by this daemon for
 // so long, and after a common start, when most come up in the rounds of a few, hardly by anybody.
-func (d *Detector) joinProbeOrder(name string) {
+func (d *Detector) insertIntoProbeOrder(name string) {
 	if name == d.self.Name || slices.Contains(d.probeOrder, name) {
 		return
 	}
@@ -248,7 +248,7 @@
 
 func (d *Detector) probeDead(packets []Packet) []Packet {
 	var dead []string
-	for _, name := range d.sortedMembers() {
+	for _, name := range d.sortedSuspectOrDead() {
 		if d.members[name].State == Dead {
 			dead = append(dead, name)
 		}
@@ -293,9 +293,9 @@
 		Sequence:   sequence,
 		Sender:     d.self,
 		Digest:     d.digest.sum(),
-		Members:    d.memberNews.take(d.settings.NewsPerMessage, size),
-		BackEnds:   d.backEndNews.take(d.settings.NewsPerMessage, size),
-		Uninformed: kind == Ping && !d.informed(),
+		Members:    d.memberUpdates.take(d.settings.NewsPerMessage, size),
+		BackEnds:   d.backEndUpdates.take(d.settings.NewsPerMessage, size),
+		Uninformed: kind == Ping && !d.hasFullState(),
 	}
 }
 
--- a/member/probe_test.go
+++ b/member/probe_test.go
@@ -14,19 +14,19 @@
 func TestLossIsNoticedSoon(t *testing.T) {
 	// allowed is two intervals until the member before it in the order of names probes it, and one until
 	// the probe counts as unanswered.
-	allowed := 3 * member.DefaultSettings().ProbeInterval
+	maxDetection := 3 * member.DefaultSettings().ProbeInterval
 	for _, size := range []int{9, 60} {
 		for seed := range uint64(30) {
 			g := newGroup(size, seed)
 			g.run(8*time.Second + time.Duration(seed)*70*time.Millisecond)
 			lost := int(seed) % size
-			g.off[lost] = true
+			g.stopped[lost] = true
 			begun := g.now
-			for g.unaware(lost) == size-1 && g.now.Sub(begun) <= 2*allowed {
+			for g.unaware(lost) == size-1 && g.now.Sub(begun) <= 2*maxDetection {
 				g.run(step)
 			}
-			if took := g.now.Sub(begun); took > allowed+2*step {
-				t.Errorf("%d daemons, seed %d: noticed after %v, %v allowed", size, seed, took, allowed)
+			if took := g.now.Sub(begun); took > maxDetection+2*step {
+				t.Errorf("%d daemons, seed %d: noticed after %v, %v allowed", size, seed, took, maxDetection)
 			}
 		}
 	}
--- a/member/rank.go
+++ b/member/rank.go
@@ -11,7 +11,7 @@
 // Ranked returns members in the order of Before for a duty.
 func Ranked(members []Member, duty string) []Member {
 	type ranked struct {
-		place int
+		index int
 		hash  uint64
 	}
 	order := make([]ranked, len(members))
@@ -19,12 +19,12 @@
 		order[i] = ranked{i, dutyHash(&members[i], duty)}
 	}
 	slices.SortFunc(order, func(a, b ranked) int {
-		first, second := &members[a.place], &members[b.place]
+		first, second := &members[a.index], &members[b.index]
 		return cmp.Or(cmp.Compare(second.Weight, first.Weight), cmp.Compare(a.hash, b.hash), strings.Compare(first.Name, second.Name))
 	})
 	sorted := make([]Member, 0, len(members))
 	for _, one := range order {
-		sorted = append(sorted, members[one.place])
+		sorted = append(sorted, members[one.index])
 	}
 	return sorted
 }
--- a/member/news.go
+++ b/member/updatequeue.go
@@ -10,13 +10,13 @@
 // newsQueue hands out urgent news first, and of news of the same urgency what was not
 // sent yet before what was. Each step takes the same time however much waits: after a
 // common start every member of a large group is news.
-type newsQueue[T any] struct {
-	byName map[string]*newsItem[T]
-	urgent newsLane[T]
-	usual  newsLane[T]
+type updateQueue[T any] struct {
+	byName map[string]*queuedUpdate[T]
+	urgent updateLane[T]
+	normal updateLane[T]
 }
 
-type newsItem[T any] struct {
+type queuedUpdate[T any] struct {
 	name   string
 	value  T
 	urgent bool
@@ -26,12 +26,12 @@
 }
 
 // newsLane holds the news of one urgency.
-type newsLane[T any] struct {
-	fresh, repeated fifo[*newsItem[T]]
+type updateLane[T any] struct {
+	fresh, repeated fifo[*queuedUpdate[T]]
 }
 
 // takeFrom moves items of a queue to those taken until there are so many, without those that were replaced.
-func takeFrom[T any](queue *fifo[*newsItem[T]], taken []*newsItem[T], count int) []*newsItem[T] {
+func takeFrom[T any](queue *fifo[*queuedUpdate[T]], taken []*queuedUpdate[T], count int) []*queuedUpdate[T] {
 	for len(taken) < count {
 		item, found := queue.pop()
 		if !found {
@@ -45,38 +45,38 @@
 }
 
 // add puts news about a name in the queue and replaces older news about it.
-func (q *newsQueue[T]) add(name string, value T, urgent bool) {
+func (q *updateQueue[T]) add(name string, value T, urgent bool) {
 	if q.byName == nil {
-		q.byName = map[string]*newsItem[T]{}
+		q.byName = map[string]*queuedUpdate[T]{}
 	}
 	if known := q.byName[name]; known != nil {
 		known.replaced = true
 	}
-	item := &newsItem[T]{name: name, value: value, urgent: urgent}
+	item := &queuedUpdate[T]{name: name, value: value, urgent: urgent}
 	q.byName[name] = item
 	q.lane(item).fresh.push(item)
 }
 
-func (q *newsQueue[T]) lane(item *newsItem[T]) *newsLane[T] {
+func (q *updateQueue[T]) lane(item *queuedUpdate[T]) *updateLane[T] {
 	if item.urgent {
 		return &q.urgent
 	}
-	return &q.usual
+	return &q.normal
 }
 
 // unsent reports whether there is urgent news that was sent fewer times than a limit.
-func (q *newsQueue[T]) unsent(limit int) bool {
-	due := func(item *newsItem[T]) bool { return !item.replaced && item.sent < limit }
+func (q *updateQueue[T]) urgentPending(limit int) bool {
+	due := func(item *queuedUpdate[T]) bool { return !item.replaced && item.sent < limit }
 	return q.urgent.fresh.contains(due) || q.urgent.repeated.contains(due)
 }
 
 // take returns up to count pieces of news and drops those sent often enough.
-func (q *newsQueue[T]) take(count, groupSize int) []T {
+func (q *updateQueue[T]) take(count, groupSize int) []T {
 	if len(q.byName) == 0 {
 		return nil
 	}
-	var taken []*newsItem[T]
-	for _, lane := range []*newsLane[T]{&q.urgent, &q.usual} {
+	var taken []*queuedUpdate[T]
+	for _, lane := range []*updateLane[T]{&q.urgent, &q.normal} {
 		taken = takeFrom(&lane.fresh, taken, count)
 		taken = takeFrom(&lane.repeated, taken, count)
 	}
@@ -94,13 +94,13 @@
 }
 
 // dropUsual drops the news that is not urgent.
-func (q *newsQueue[T]) dropUsual() {
+func (q *updateQueue[T]) dropNormal() {
 	for name, item := range q.byName {
 		if !item.urgent {
 			delete(q.byName, name)
 		}
 	}
-	q.usual = newsLane[T]{}
+	q.normal = updateLane[T]{}
 }
 
 // fifo is a queue.
--- a/member/view.go
+++ b/member/view.go
@@ -60,6 +60,6 @@
 
 // BackEnd returns the newest news about a back end.
 func (d *Detector) BackEnd(name string) (BackEnd, bool) {
-	news, found := d.backEnds[name]
-	return news, found
+	update, found := d.backEnds[name]
+	return update, found
 }
--- a/peer/silence.go
+++ b/peer/acknowledge.go
@@ -11,9 +11,9 @@
 // connection on which frames stay unacknowledged for too long.
 const (
 	// acknowledgeAfter is how long after a frame the listener acknowledges it, with all that came meanwhile.
-	acknowledgeAfter = 300 * time.Millisecond
+	acknowledgeDelay = 300 * time.Millisecond
 	// silenceLimit is how long a frame may stay unacknowledged: a daemon or a path may rest for a second.
-	silenceLimit = acknowledgeAfter + 1300*time.Millisecond
+	acknowledgeTimeout = acknowledgeDelay + 1300*time.Millisecond
 	// acknowledgementBytes is the size of an acknowledgement's body: the number of frames so far.
 	acknowledgementBytes = 4
 )
@@ -24,17 +24,17 @@
 	mutex    sync.Mutex
 	received uint32
 	// due will send the next acknowledgement; nil if none is due.
-	due   *time.Timer
-	ended bool
+	pendingTimer *time.Timer
+	ended        bool
 }
 
 // arrived notes that a frame has arrived.
-func (a *acknowledger) arrived() {
+func (a *acknowledger) recordFrame() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.received++
-	if a.due == nil && !a.ended {
-		a.due = time.AfterFunc(acknowledgeAfter, a.send)
+	if a.pendingTimer == nil && !a.ended {
+		a.pendingTimer = time.AfterFunc(acknowledgeDelay, a.send)
 	}
 }
 
@@ -42,7 +42,7 @@
 func (a *acknowledger) send() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.due = nil
+	a.pendingTimer = nil
 	if a.ended {
 		return
 	}
@@ -54,12 +54,12 @@
 }
 
 // end ends the acknowledgements of a session that has ended.
-func (a *acknowledger) end() {
+func (a *acknowledger) stop() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.ended = true
-	if a.due != nil {
-		a.due.Stop()
+	if a.pendingTimer != nil {
+		a.pendingTimer.Stop()
 	}
 }
 
@@ -68,55 +68,55 @@
 	mutex sync.Mutex
 	sent  uint32
 	// waitingSince is since when there are unacknowledged frames; zero if there are none.
-	waitingSince time.Time
-	ended        bool
+	unacknowledgedSince time.Time
+	ended               bool
 }
 
 // sending notes that a frame is about to be sent.
-func (p *progress) sending(now time.Time) {
+func (p *progress) recordSend(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.sent++
-	if p.waitingSince.IsZero() {
-		p.waitingSince = now
+	if p.unacknowledgedSince.IsZero() {
+		p.unacknowledgedSince = now
 	}
 }
 
 // acknowledged takes in how many frames have arrived.
-func (p *progress) acknowledged(now time.Time, received uint32) {
+func (p *progress) recordAcknowledgement(now time.Time, received uint32) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.waitingSince = time.Time{}
+	p.unacknowledgedSince = time.Time{}
 	if received != p.sent {
-		p.waitingSince = now
+		p.unacknowledgedSince = now
 	}
 }
 
 // end notes that the other side has ended the session.
-func (p *progress) end() {
+func (p *progress) recordEnd() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.ended = true
 }
 
 // state returns whether the session has ended, and for how long frames have stayed unacknowledged.
-func (p *progress) state(now time.Time) (ended bool, waiting time.Duration) {
+func (p *progress) state(now time.Time) (ended bool, unacknowledgedFor time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.waitingSince.IsZero() {
+	if p.unacknowledgedSince.IsZero() {
 		return p.ended, 0
 	}
-	return p.ended, now.Sub(p.waitingSince)
+	return p.ended, now.Sub(p.unacknowledgedSince)
 }
 
 // readAcknowledgements reads what the listener of a session acknowledges, until the session ends.
 func readAcknowledgements(s *session, p *progress) {
-	defer p.end()
+	defer p.recordEnd()
 	for {
 		body, err := s.readFrameUntil(time.Time{})
 		if err != nil || len(body) != acknowledgementBytes {
 			return
 		}
-		p.acknowledged(time.Now(), binary.BigEndian.Uint32(body))
+		p.recordAcknowledgement(time.Now(), binary.BigEndian.Uint32(body))
 	}
 }
--- a/peer/compress.go
+++ b/peer/compress.go
@@ -10,9 +10,9 @@
 const (
 	// compressFrom is the size of a body from which on it is compressed. Lists of instances, of members and
 	// of routes repeat the same words in each entry.
-	compressFrom = 4 << 10
+	minCompressBytes = 4 << 10
 	// compressedMark begins a compressed body. No msgpack value begins with it.
-	compressedMark = 0xc1
+	compressedPrefix = 0xc1
 )
 
 var compressors = sync.Pool{New: func() any {
@@ -22,39 +22,39 @@
 
 // compress returns a body as it is sent.
 func compress(body []byte) []byte {
-	if len(body) < compressFrom {
+	if len(body) < minCompressBytes {
 		return body
 	}
-	var packed bytes.Buffer
-	packed.WriteByte(compressedMark)
+	var compressed bytes.Buffer
+	compressed.WriteByte(compressedPrefix)
 	writer, ok := compressors.Get().(*flate.Writer)
 	if !ok {
 		return body
 	}
 	defer compressors.Put(writer)
-	writer.Reset(&packed)
+	writer.Reset(&compressed)
 	if _, err := writer.Write(body); err != nil {
 		return body
 	}
-	if err := writer.Close(); err != nil || packed.Len() >= len(body) {
+	if err := writer.Close(); err != nil || compressed.Len() >= len(body) {
 		return body
 	}
-	return packed.Bytes()
+	return compressed.Bytes()
 }
 
 // decompress returns a body as it was encoded.
 func decompress(body []byte) ([]byte, error) {
-	if len(body) == 0 || body[0] != compressedMark {
+	if len(body) == 0 || body[0] != compressedPrefix {
 		return body, nil
 	}
 	reader := flate.NewReader(bytes.NewReader(body[1:]))
 	defer reader.Close()
-	whole, err := io.ReadAll(io.LimitReader(reader, maxFrameBytes+1))
+	decompressed, err := io.ReadAll(io.LimitReader(reader, maxFrameBytes+1))
 	switch {
 	case err != nil:
 		return nil, ErrProtocol.Wrap(err)
-	case len(whole) > maxFrameBytes:
+	case len(decompressed) > maxFrameBytes:
 		return nil, ErrProtocol.New("body is over %d bytes when it is decompressed", maxFrameBytes)
 	}
-	return whole, nil
+	return decompressed, nil
 }
--- a/peer/compress_test.go
+++ b/peer/compress_test.go
@@ -12,7 +12,7 @@
 )
 
 // manyRoutes is a configuration with so many routes, as a message holds it.
-func manyRoutes(tb testing.TB, count int) []byte {
+func encodedRoutes(tb testing.TB, count int) []byte {
 	tb.Helper()
 	var routes []fleet.Route
 	for i := range count {
@@ -31,38 +31,38 @@
 // TestLargeBodiesAreCompressed covers both ways, and guards against lists that fill the links of small machines when
 // many daemons lack them at once.
 func TestLargeBodiesAreCompressed(t *testing.T) {
-	const least = 6
-	body := manyRoutes(t, 400)
-	packed := compress(body)
-	if least*len(packed) > len(body) {
-		t.Errorf("%d bytes of %d", len(packed), len(body))
+	const minRatio = 6
+	body := encodedRoutes(t, 400)
+	compressed := compress(body)
+	if minRatio*len(compressed) > len(body) {
+		t.Errorf("%d bytes of %d", len(compressed), len(body))
 	}
-	if whole, err := decompress(packed); err != nil || !bytes.Equal(whole, body) {
-		t.Errorf("%d bytes come back of %d, %v", len(whole), len(body), err)
+	if decompressed, err := decompress(compressed); err != nil || !bytes.Equal(decompressed, body) {
+		t.Errorf("%d bytes come back of %d, %v", len(decompressed), len(body), err)
 	}
-	small := body[:compressFrom-1]
-	if whole, err := decompress(compress(small)); err != nil || !bytes.Equal(whole, small) {
-		t.Errorf("a small body comes back with %d bytes, %v", len(whole), err)
+	small := body[:minCompressBytes-1]
+	if decompressed, err := decompress(compress(small)); err != nil || !bytes.Equal(decompressed, small) {
+		t.Errorf("a small body comes back with %d bytes, %v", len(decompressed), err)
 	}
 }
 
 // TestCompressedBodyIsBounded guards against a small frame that takes all memory when it is decompressed.
 func TestCompressedBodyIsBounded(t *testing.T) {
-	var packed bytes.Buffer
-	packed.WriteByte(compressedMark)
-	writer, err := flate.NewWriter(&packed, flate.BestCompression)
+	var compressed bytes.Buffer
+	compressed.WriteByte(compressedPrefix)
+	writer, err := flate.NewWriter(&compressed, flate.BestCompression)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, _ = writer.Write(make([]byte, 2*maxFrameBytes))
 	_ = writer.Close()
-	if whole, err := decompress(packed.Bytes()); !ErrProtocol.Has(err) {
-		t.Errorf("%d bytes from %d, error %v", len(whole), packed.Len(), err)
+	if decompressed, err := decompress(compressed.Bytes()); !ErrProtocol.Has(err) {
+		t.Errorf("%d bytes from %d, error %v", len(decompressed), compressed.Len(), err)
 	}
 }
 
 func BenchmarkCompress(b *testing.B) {
-	body := manyRoutes(b, 400)
+	body := encodedRoutes(b, 400)
 	for b.Loop() {
 		compress(body)
 	}
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -43,9 +43,9 @@
 	// sendRingSize is how many messages wait for one peer, sendRingBytes how many
 	// bytes: a peer behind a slow link must not take this daemon's memory. A message
 	// that is larger alone still goes.
-	sendRingSize  = 64
-	sendRingBytes = 1 << 20
-	dialTimeout   = 2 * time.Second
+	sendRingMessages = 64
+	sendRingBytes    = 1 << 20
+	dialTimeout      = 2 * time.Second
 	// writeTimeout bounds the sending of one frame.
 	writeTimeout = 3 * time.Second
 	// idleTimeout is how long a connection without messages is kept. A daemon tells
@@ -54,8 +54,8 @@
 	// firstRedialPause is the pause after a failed attempt to connect, and twice as long after
 	// each further one, up to redialPause. When a whole fleet starts again, most first attempts
 	// come too early by less than that.
-	firstRedialPause = 30 * time.Millisecond
-	redialPause      = 500 * time.Millisecond
+	minRedialBackoff = 30 * time.Millisecond
+	maxRedialBackoff = 500 * time.Millisecond
 	// maxConnections bounds the connections that are accepted at once.
 	maxConnections = 4096
 )
@@ -78,7 +78,7 @@
 	open    map[net.Conn]bool
 	counts  Counts
 	// onSilent is told of connections that are given up; nil if nobody asks.
-	onSilent func(address string, waiting time.Duration)
+	onSilent func(address string, unacknowledgedFor time.Duration)
 	tunnels  tunnels
 }
 
@@ -101,7 +101,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	transport := &Transport[M]{
 		key: key, handler: handler, listener: listener, ctx: ctx, cancel: cancel,
-		senders: map[string]*sender{}, open: map[net.Conn]bool{}, tunnels: tunnels{open: map[*carried]bool{}},
+		senders: map[string]*sender{}, open: map[net.Conn]bool{}, tunnels: tunnels{open: map[*relayedTunnel]bool{}},
 	}
 	transport.group.Go(transport.accept)
 	return transport, nil
@@ -140,7 +140,7 @@
 	}
 	body = compress(body)
 	for _, address := range addresses {
-		if !t.sender(address).offer(body) {
+		if !t.sender(address).enqueue(body) {
 			t.count(func(counts *Counts) { counts.Dropped++ })
 		}
 	}
@@ -158,16 +158,16 @@
 	address string
 	frames  *ring.Ring[[]byte]
 	// waiting is the number of bytes in the ring.
-	waiting atomic.Int64
+	queuedBytes atomic.Int64
 	// failures counts the attempts to connect that failed since the last one that did not.
 	failures int
 }
 
 // offer queues a frame, unless too many wait already.
-func (s *sender) offer(body []byte) bool {
+func (s *sender) enqueue(body []byte) bool {
 	size := int64(len(body))
-	if before := s.waiting.Add(size) - size; before > 0 && before+size > sendRingBytes || !s.frames.Offer(body) {
-		s.waiting.Add(-size)
+	if before := s.queuedBytes.Add(size) - size; before > 0 && before+size > sendRingBytes || !s.frames.Offer(body) {
+		s.queuedBytes.Add(-size)
 		return false
 	}
 	return true
@@ -178,7 +178,7 @@
 	defer t.mutex.Unlock()
 	known := t.senders[address]
 	if known == nil {
-		known = &sender{address: address, frames: ring.New[[]byte](sendRingSize)}
+		known = &sender{address: address, frames: ring.New[[]byte](sendRingMessages)}
 		t.senders[address] = known
 		if t.ctx.Err() == nil {
 			t.group.Go(func() { t.runSender(known) })
@@ -193,7 +193,7 @@
 		delete(t.senders, s.address)
 		t.mutex.Unlock()
 	}()
-	var current *outgoing
+	var current *outgoingSession
 	defer func() {
 		if current != nil {
 			t.closeConn(current.conn)
@@ -206,49 +206,49 @@
 		if !ok || t.ctx.Err() != nil {
 			return
 		}
-		s.waiting.Add(-int64(len(body)))
+		s.queuedBytes.Add(-int64(len(body)))
 		current = t.sendBody(s, current, body)
 	}
 }
 
 // outgoing is a session of a sender.
-type outgoing struct {
+type outgoingSession struct {
 	*session
 	progress progress
 }
 
 // lost reports whether a session must not be used any more: the peer has closed it, and the first write after that would
 // succeed, or it has fallen silent. Acknowledgements that wait to be read prove that it has not.
-func (t *Transport[M]) lost(s *sender, current *outgoing) bool {
-	ended, waiting := current.progress.state(time.Now())
+func (t *Transport[M]) needsReconnect(s *sender, current *outgoingSession) bool {
+	ended, unacknowledgedFor := current.progress.state(time.Now())
 	if ended || idle.HasEnded(current.conn) {
 		return true
 	}
-	if waiting < silenceLimit || !idle.IsOpen(current.conn) {
+	if unacknowledgedFor < acknowledgeTimeout || !idle.IsOpen(current.conn) {
 		return false
 	}
-	var tell func(address string, waiting time.Duration)
+	var notify func(address string, unacknowledgedFor time.Duration)
 	t.count(func(counts *Counts) {
 		counts.Silent++
-		tell = t.onSilent
+		notify = t.onSilent
 	})
-	if tell != nil {
-		tell(s.address, waiting)
+	if notify != nil {
+		notify(s.address, unacknowledgedFor)
 	}
 	return true
 }
 
 // OnSilent sets what is told of connections that are given up because frames stayed unacknowledged for a time.
-func (t *Transport[M]) OnSilent(tell func(address string, waiting time.Duration)) {
+func (t *Transport[M]) OnSilent(notify func(address string, unacknowledgedFor time.Duration)) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.onSilent = tell
+	t.onSilent = notify
 }
 
 // sendBody writes body as one frame to the current session and returns the session to use next, or nil. It
 // reconnects if there is no session, or only one that is lost.
-func (t *Transport[M]) sendBody(s *sender, current *outgoing, body []byte) *outgoing {
-	if current != nil && t.lost(s, current) {
+func (t *Transport[M]) sendBody(s *sender, current *outgoingSession, body []byte) *outgoingSession {
+	if current != nil && t.needsReconnect(s, current) {
 		t.closeConn(current.conn)
 		current = nil
 	}
@@ -259,7 +259,7 @@
 		t.count(func(counts *Counts) { counts.Dropped++ })
 		return nil
 	}
-	current.progress.sending(time.Now())
+	current.progress.recordSend(time.Now())
 	if err := current.writeFrame(body); err != nil {
 		t.closeConn(current.conn)
 		t.count(func(counts *Counts) { counts.Dropped++ })
@@ -272,7 +272,7 @@
 	return current
 }
 
-func (t *Transport[M]) connect(s *sender) *outgoing {
+func (t *Transport[M]) connect(s *sender) *outgoingSession {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(t.ctx, "tcp", s.address)
 	if err == nil {
@@ -283,16 +283,16 @@
 		opened, err = openSession(conn, t.key, true)
 		if stop() && err == nil {
 			s.failures = 0
-			made := &outgoing{session: opened}
-			t.group.Go(func() { readAcknowledgements(opened, &made.progress) })
-			return made
+			established := &outgoingSession{session: opened}
+			t.group.Go(func() { readAcknowledgements(opened, &established.progress) })
+			return established
 		}
 		t.closeConn(conn)
 	}
-	pause := min(firstRedialPause<<min(s.failures, 8), redialPause)
+	backoff := min(minRedialBackoff<<min(s.failures, 8), maxRedialBackoff)
 	s.failures++
 	select {
-	case <-time.After(pause):
+	case <-time.After(backoff):
 	case <-t.ctx.Done():
 	}
 	return nil
@@ -322,7 +322,7 @@
 			if t.ctx.Err() != nil {
 				return
 			}
-			time.Sleep(redialPause)
+			time.Sleep(maxRedialBackoff)
 			continue
 		}
 		if !t.track(conn) {
@@ -341,11 +341,11 @@
 		return
 	}
 	if label == labelTunnel {
-		t.carry(session)
+		t.serveTunnel(session)
 		return
 	}
 	acknowledger := &acknowledger{session: session}
-	defer acknowledger.end()
+	defer acknowledger.stop()
 	for {
 		body, err := session.readFrame()
 		if err != nil {
@@ -354,7 +354,7 @@
 			}
 			return
 		}
-		acknowledger.arrived()
+		acknowledger.recordFrame()
 		var message M
 		if body, err = decompress(body); err == nil {
 			err = msgpack.Unmarshal(body, &message)
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -55,8 +55,8 @@
 		return body
 	}
 	cases := []struct {
-		name  string
-		speak func(t *testing.T, conn net.Conn)
+		name      string
+		runClient func(t *testing.T, conn net.Conn)
 	}{
 		{"another key", func(t *testing.T, conn net.Conn) {
 			if _, err := openSession(conn, []byte("other"), true); err == nil {
@@ -67,7 +67,7 @@
 		{"a changed frame", func(t *testing.T, conn net.Conn) {
 			session := open(t, conn)
 			body := valid(t)
-			mac := session.out.sum([]byte("another body"))
+			mac := session.out.nextMAC([]byte("another body"))
 			_, _ = conn.Write(append(append([]byte{0, 0, 0, byte(len(body))}, mac...), body...))
 		}},
 		{"a frame sent twice", func(t *testing.T, conn net.Conn) {
@@ -96,7 +96,7 @@
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			c.speak(t, conn)
+			c.runClient(t, conn)
 			rejected(target)
 			if extra := len(messages); extra > 1 {
 				t.Fatalf("%d messages were taken", extra)
@@ -165,7 +165,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for range sendRingSize {
+		for range sendRingMessages {
 			source.Send(listener.Addr().String(), control.Message{Through: 1})
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/peer/queue_test.go
+++ b/peer/queue_test.go
@@ -11,23 +11,23 @@
 // room.
 func TestQueueIsBoundedInBytes(t *testing.T) {
 	const large = 300 << 10
-	s := &sender{frames: ring.New[[]byte](sendRingSize)}
-	if !s.offer(make([]byte, 3*sendRingBytes)) {
+	s := &sender{frames: ring.New[[]byte](sendRingMessages)}
+	if !s.enqueue(make([]byte, 3*sendRingBytes)) {
 		t.Fatal("a message that is larger alone is turned away")
 	}
-	s = &sender{frames: ring.New[[]byte](sendRingSize)}
-	taken := 0
-	for range sendRingSize {
-		if s.offer(make([]byte, large)) {
-			taken++
+	s = &sender{frames: ring.New[[]byte](sendRingMessages)}
+	accepted := 0
+	for range sendRingMessages {
+		if s.enqueue(make([]byte, large)) {
+			accepted++
 		}
 	}
-	if waiting := s.waiting.Load(); taken != 3 || waiting != 3*large {
-		t.Fatalf("%d messages with %d bytes wait", taken, waiting)
+	if queuedBytes := s.queuedBytes.Load(); accepted != 3 || queuedBytes != 3*large {
+		t.Fatalf("%d messages with %d bytes wait", accepted, queuedBytes)
 	}
 	body := <-s.frames.Items()
-	s.waiting.Add(-int64(len(body)))
-	if !s.offer(make([]byte, large)) {
+	s.queuedBytes.Add(-int64(len(body)))
+	if !s.enqueue(make([]byte, large)) {
 		t.Fatal("no room after a message has left")
 	}
 }
--- a/peer/session.go
+++ b/peer/session.go
@@ -64,33 +64,33 @@
 
 // handshake exchanges challenges and proofs. The listener proves itself too, so that a dialer does not talk to a
 // stranger on an address used again. It returns which of the labels the other side has proved.
-func handshake(conn net.Conn, key []byte, ownLabel string, others ...string) (*session, string, error) {
+func handshake(conn net.Conn, key []byte, localLabel string, remoteLabels ...string) (*session, string, error) {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, "", ErrProtocol.Wrap(err)
 	}
-	var own, other [challengeBytes]byte
-	if _, err := rand.Read(own[:]); err != nil {
+	var localChallenge, remoteChallenge [challengeBytes]byte
+	if _, err := rand.Read(localChallenge[:]); err != nil {
 		return nil, "", ErrProtocol.Wrap(err)
 	}
-	if _, err := conn.Write(own[:]); err != nil {
+	if _, err := conn.Write(localChallenge[:]); err != nil {
 		return nil, "", ErrProtocol.Wrap(err)
 	}
-	if _, err := io.ReadFull(conn, other[:]); err != nil {
+	if _, err := io.ReadFull(conn, remoteChallenge[:]); err != nil {
 		return nil, "", ErrProtocol.Wrap(err)
 	}
-	dialerChallenge, listenerChallenge := own[:], other[:]
-	if ownLabel == labelListener {
+	dialerChallenge, listenerChallenge := localChallenge[:], remoteChallenge[:]
+	if localLabel == labelListener {
 		dialerChallenge, listenerChallenge = listenerChallenge, dialerChallenge
 	}
-	if _, err := conn.Write(proof(key, ownLabel, dialerChallenge, listenerChallenge)); err != nil {
+	if _, err := conn.Write(proof(key, localLabel, dialerChallenge, listenerChallenge)); err != nil {
 		return nil, "", ErrProtocol.Wrap(err)
 	}
-	var answer [sha256.Size]byte
-	if _, err := io.ReadFull(conn, answer[:]); err != nil {
+	var remoteProof [sha256.Size]byte
+	if _, err := io.ReadFull(conn, remoteProof[:]); err != nil {
 		return nil, "", ErrProtocol.Wrap(err)
 	}
-	for _, label := range others {
-		if !hmac.Equal(answer[:], proof(key, label, dialerChallenge, listenerChallenge)) {
+	for _, label := range remoteLabels {
+		if !hmac.Equal(remoteProof[:], proof(key, label, dialerChallenge, listenerChallenge)) {
 			continue
 		}
 		if err := conn.SetDeadline(time.Time{}); err != nil {
@@ -99,7 +99,7 @@
 		frames := direction{mac: hmac.New(sha256.New, proof(key, labelFrames, dialerChallenge, listenerChallenge))}
 		acknowledgements := direction{mac: hmac.New(sha256.New, proof(key, labelAcknowledgements, dialerChallenge, listenerChallenge))}
 		opened := &session{conn: conn, reader: bufio.NewReaderSize(conn, readBufferBytes), out: frames, in: acknowledgements}
-		if ownLabel == labelListener {
+		if localLabel == labelListener {
 			opened.out, opened.in = acknowledgements, frames
 		}
 		return opened, label, nil
@@ -116,7 +116,7 @@
 }
 
 // sum returns the MAC of the next frame and counts it.
-func (d *direction) sum(body []byte) []byte {
+func (d *direction) nextMAC(body []byte) []byte {
 	d.mac.Reset()
 	var number [8]byte
 	binary.BigEndian.PutUint64(number[:], d.sequence)
@@ -132,7 +132,7 @@
 		return ErrProtocol.New("frame of %d bytes is over %d", len(body), maxFrameBytes)
 	}
 	s.buffer = binary.BigEndian.AppendUint32(s.buffer[:0], uint32(len(body)))
-	s.buffer = append(s.buffer, s.out.sum(body)...)
+	s.buffer = append(s.buffer, s.out.nextMAC(body)...)
 	s.buffer = append(s.buffer, body...)
 	if err := s.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return ErrProtocol.Wrap(err)
@@ -151,11 +151,11 @@
 	if err := s.conn.SetReadDeadline(deadline); err != nil {
 		return nil, err
 	}
-	var head [frameOverhead]byte
-	if _, err := io.ReadFull(s.reader, head[:]); err != nil {
+	var header [frameOverhead]byte
+	if _, err := io.ReadFull(s.reader, header[:]); err != nil {
 		return nil, err
 	}
-	length := binary.BigEndian.Uint32(head[:lengthBytes])
+	length := binary.BigEndian.Uint32(header[:lengthBytes])
 	if length > maxFrameBytes {
 		return nil, ErrProtocol.New("frame of %d bytes is over %d", length, maxFrameBytes)
 	}
@@ -163,7 +163,7 @@
 	if _, err := io.ReadFull(s.reader, body); err != nil {
 		return nil, err
 	}
-	if !hmac.Equal(head[lengthBytes:], s.in.sum(body)) {
+	if !hmac.Equal(header[lengthBytes:], s.in.nextMAC(body)) {
 		return nil, ErrProtocol.New("frame %d has a wrong MAC", s.in.sequence-1)
 	}
 	return body, nil
--- a/peer/tunnel.go
+++ b/peer/tunnel.go
@@ -33,8 +33,8 @@
 const (
 	tunnelOpen tunnelStatus = iota
 	tunnelRefused
-	tunnelUnreached
-	tunnelCut
+	tunnelUnreachable
+	tunnelNoRoute
 	tunnelDeclined
 )
 
@@ -42,17 +42,17 @@
 	// maxTunnels bounds the tunnels that are carried at once.
 	maxTunnels = 512
 	// maxPieceBytes bounds a piece of the bytes on their way back.
-	maxPieceBytes = 8 << 10
+	maxChunkBytes = 8 << 10
 	// pieceHeadBytes is the length before each piece.
-	pieceHeadBytes = 2
+	chunkHeaderBytes = 2
 	// lastPiece is the length that stands for the end: the target has closed its side. Without it, a connection that
 	// ends with its carrier would look like an answer that ended well.
-	lastPiece = 0
+	endMarker = 0
 	// retiringPiece is the length that stands for a carrier that is about to stop.
-	retiringPiece = 0xffff
+	retiringMarker = 0xffff
 	// targetTimeout bounds the connecting to a target, and tunnelTimeout the whole opening of a tunnel.
-	targetTimeout = 250 * time.Millisecond
-	tunnelTimeout = 2 * time.Second
+	targetConnectTimeout = 250 * time.Millisecond
+	tunnelOpenTimeout    = 2 * time.Second
 )
 
 // Carry tells a transport how to connect to targets for other daemons. Connect returns an error of the class
@@ -67,13 +67,13 @@
 func (t *Transport[M]) Retire() {
 	t.tunnels.mutex.Lock()
 	t.tunnels.retiring = true
-	var open []*carried
+	var open []*relayedTunnel
 	for tunnel := range t.tunnels.open {
 		open = append(open, tunnel)
 	}
 	t.tunnels.mutex.Unlock()
 	for _, tunnel := range open {
-		t.group.Go(tunnel.retire)
+		t.group.Go(tunnel.sendRetiring)
 	}
 }
 
@@ -86,9 +86,9 @@
 
 // Tunnel has the daemon at a peer address connect to a target, and returns the connection through it.
 func (t *Transport[M]) Tunnel(ctx context.Context, relay, target string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, tunnelTimeout)
+	ctx, cancel := context.WithTimeout(ctx, tunnelOpenTimeout)
 	defer cancel()
-	dialer := net.Dialer{KeepAliveConfig: keepAlive}
+	dialer := net.Dialer{KeepAliveConfig: keepAliveConfig}
 	conn, err := dialer.DialContext(ctx, "tcp", relay)
 	if err != nil {
 		return nil, ErrRelay.Wrap(err)
@@ -127,9 +127,9 @@
 		return &tunnelConn{Conn: conn}, nil
 	case tunnelRefused:
 		return nil, ErrTarget.Wrap(&net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED})
-	case tunnelUnreached:
+	case tunnelUnreachable:
 		return nil, ErrTarget.Wrap(&net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded})
-	case tunnelCut:
+	case tunnelNoRoute:
 		return nil, ErrRelayCut.New("%s", conn.RemoteAddr())
 	default:
 		return nil, ErrRelayDeclined.New("%s", conn.RemoteAddr())
@@ -141,8 +141,8 @@
 type tunnelConn struct {
 	net.Conn
 	// left is what is still to be read of the current piece.
-	left  int
-	ended bool
+	remaining int
+	ended     bool
 	// retiring says that the carrier is about to stop.
 	retiring atomic.Bool
 }
@@ -161,35 +161,35 @@
 
 // Read returns io.EOF only if the target has closed its side.
 func (c *tunnelConn) Read(buffer []byte) (int, error) {
-	for c.left == 0 {
+	for c.remaining == 0 {
 		if c.ended {
 			return 0, io.EOF
 		}
-		var head [pieceHeadBytes]byte
-		if _, err := io.ReadFull(c.Conn, head[:]); err != nil {
-			return 0, unexpected(err)
+		var header [chunkHeaderBytes]byte
+		if _, err := io.ReadFull(c.Conn, header[:]); err != nil {
+			return 0, asUnexpectedEOF(err)
 		}
-		switch length := int(binary.BigEndian.Uint16(head[:])); {
-		case length == lastPiece:
+		switch length := int(binary.BigEndian.Uint16(header[:])); {
+		case length == endMarker:
 			c.ended = true
-		case length == retiringPiece:
+		case length == retiringMarker:
 			c.retiring.Store(true)
-		case length > maxPieceBytes:
+		case length > maxChunkBytes:
 			return 0, ErrProtocol.New("piece of %d bytes", length)
 		default:
-			c.left = length
+			c.remaining = length
 		}
 	}
-	count, err := c.Conn.Read(buffer[:min(len(buffer), c.left)])
-	c.left -= count
+	count, err := c.Conn.Read(buffer[:min(len(buffer), c.remaining)])
+	c.remaining -= count
 	if count > 0 {
 		return count, nil
 	}
-	return 0, unexpected(err)
+	return 0, asUnexpectedEOF(err)
 }
 
 // unexpected returns an error that does not look like a proper end.
-func unexpected(err error) error {
+func asUnexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -200,12 +200,12 @@
 type tunnels struct {
 	mutex    sync.Mutex
 	connect  func(ctx context.Context, target string) (net.Conn, error)
-	open     map[*carried]bool
+	open     map[*relayedTunnel]bool
 	retiring bool
 }
 
 // add counts a tunnel, unless no more are carried.
-func (t *tunnels) add(tunnel *carried) bool {
+func (t *tunnels) add(tunnel *relayedTunnel) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.retiring || t.connect == nil || len(t.open) >= maxTunnels {
@@ -221,22 +221,22 @@
 	return t.retiring
 }
 
-func (t *tunnels) remove(tunnel *carried) {
+func (t *tunnels) remove(tunnel *relayedTunnel) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	delete(t.open, tunnel)
 }
 
 // carried is a tunnel at its carrier.
-type carried struct {
+type relayedTunnel struct {
 	session *session
 	target  net.Conn
 	// writing keeps pieces whole.
-	writing sync.Mutex
+	writeMutex sync.Mutex
 }
 
 // carry carries one tunnel until either side ends.
-func (t *Transport[M]) carry(session *session) {
+func (t *Transport[M]) serveTunnel(session *session) {
 	body, err := session.readFrame()
 	if err != nil {
 		t.count(func(counts *Counts) { counts.Rejected++ })
@@ -245,33 +245,33 @@
 	if err := session.conn.SetDeadline(time.Time{}); err != nil {
 		return
 	}
-	tunnel := &carried{session: session}
+	tunnel := &relayedTunnel{session: session}
 	if !t.tunnels.add(tunnel) {
 		_, _ = session.conn.Write([]byte{byte(tunnelDeclined)})
 		return
 	}
 	defer t.tunnels.remove(tunnel)
-	watchNearEnd(session.conn)
+	enableKeepAlive(session.conn)
 	if err := t.connectTarget(tunnel, string(body)); err != nil {
 		return
 	}
 	defer tunnel.target.Close()
 	stop := context.AfterFunc(t.ctx, func() { _ = tunnel.target.Close() })
 	defer stop()
-	t.group.Go(tunnel.forward)
+	t.group.Go(tunnel.copyToTarget)
 	if t.tunnels.isRetiring() {
-		t.group.Go(tunnel.retire)
+		t.group.Go(tunnel.sendRetiring)
 	}
-	tunnel.back()
+	tunnel.copyFromTarget()
 }
 
 // connectTarget connects a tunnel to its target and tells the near end what came of it.
-func (t *Transport[M]) connectTarget(tunnel *carried, target string) error {
-	ctx, cancel := context.WithTimeout(t.ctx, targetTimeout)
+func (t *Transport[M]) connectTarget(tunnel *relayedTunnel, target string) error {
+	ctx, cancel := context.WithTimeout(t.ctx, targetConnectTimeout)
 	defer cancel()
 	conn, err := t.tunnels.connect(ctx, target)
-	tunnel.writing.Lock()
-	defer tunnel.writing.Unlock()
+	tunnel.writeMutex.Lock()
+	defer tunnel.writeMutex.Unlock()
 	if err != nil {
 		_, _ = tunnel.session.conn.Write([]byte{byte(statusOf(err))})
 		return err
@@ -285,31 +285,31 @@
 }
 
 // keepAlive ends tunnels whose other end has gone without a word.
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 3}
+var keepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 3}
 
-func watchNearEnd(conn net.Conn) {
+func enableKeepAlive(conn net.Conn) {
 	if socket, ok := conn.(*net.TCPConn); ok {
-		_ = socket.SetKeepAliveConfig(keepAlive)
+		_ = socket.SetKeepAliveConfig(keepAliveConfig)
 	}
 }
 
 func statusOf(err error) tunnelStatus {
 	switch {
 	case ErrRelayCut.Has(err):
-		return tunnelCut
+		return tunnelNoRoute
 	case ErrRelayDeclined.Has(err):
 		return tunnelDeclined
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return tunnelRefused
 	default:
-		return tunnelUnreached
+		return tunnelUnreachable
 	}
 }
 
 // forward carries the bytes to the target. When the near end closes, so does the connection to the target.
-func (c *carried) forward() {
+func (c *relayedTunnel) copyToTarget() {
 	defer c.target.Close()
-	buffer := make([]byte, maxPieceBytes)
+	buffer := make([]byte, maxChunkBytes)
 	for {
 		count, err := c.session.reader.Read(buffer)
 		if count > 0 {
@@ -324,16 +324,16 @@
 }
 
 // back carries the bytes from the target, and its end.
-func (c *carried) back() {
+func (c *relayedTunnel) copyFromTarget() {
 	// A piece is written together with its head.
-	buffer := make([]byte, pieceHeadBytes+maxPieceBytes)
+	buffer := make([]byte, chunkHeaderBytes+maxChunkBytes)
 	for {
-		count, err := c.target.Read(buffer[pieceHeadBytes:])
-		if count > 0 && c.write(buffer[:pieceHeadBytes+count], uint16(count)) != nil {
+		count, err := c.target.Read(buffer[chunkHeaderBytes:])
+		if count > 0 && c.writeChunk(buffer[:chunkHeaderBytes+count], uint16(count)) != nil {
 			return
 		}
 		if errors.Is(err, io.EOF) {
-			_ = c.write(buffer[:pieceHeadBytes], lastPiece)
+			_ = c.writeChunk(buffer[:chunkHeaderBytes], endMarker)
 		}
 		if err != nil {
 			return
@@ -342,26 +342,26 @@
 }
 
 // pieceTimeout bounds the writing of a piece: a near end whose client is slow reads slowly.
-const pieceTimeout = 30 * time.Second
+const chunkWriteTimeout = 30 * time.Second
 
 // write sends one piece whose bytes stand behind room for its head.
-func (c *carried) write(piece []byte, length uint16) error {
-	binary.BigEndian.PutUint16(piece, length)
-	c.writing.Lock()
-	defer c.writing.Unlock()
-	if err := c.session.conn.SetWriteDeadline(time.Now().Add(pieceTimeout)); err != nil {
+func (c *relayedTunnel) writeChunk(chunk []byte, length uint16) error {
+	binary.BigEndian.PutUint16(chunk, length)
+	c.writeMutex.Lock()
+	defer c.writeMutex.Unlock()
+	if err := c.session.conn.SetWriteDeadline(time.Now().Add(chunkWriteTimeout)); err != nil {
 		return err
 	}
-	_, err := c.session.conn.Write(piece)
+	_, err := c.session.conn.Write(chunk)
 	return err
 }
 
 // retire tells the near end that this carrier is about to stop.
-func (c *carried) retire() {
-	c.writing.Lock()
+func (c *relayedTunnel) sendRetiring() {
+	c.writeMutex.Lock()
 	connected := c.target != nil
-	c.writing.Unlock()
+	c.writeMutex.Unlock()
 	if connected {
-		_ = c.write(make([]byte, pieceHeadBytes), retiringPiece)
+		_ = c.writeChunk(make([]byte, chunkHeaderBytes), retiringMarker)
 	}
 }
--- a/peer/tunnel_test.go
+++ b/peer/tunnel_test.go
@@ -34,7 +34,7 @@
 }
 
 // carrier is a transport that carries tunnels to anywhere.
-func carrier(t *testing.T) *Transport[control.Message] {
+func relayTransport(t *testing.T) *Transport[control.Message] {
 	t.Helper()
 	transport := listen(t, "key", func(control.Message) {})
 	transport.Carry(func(ctx context.Context, target string) (net.Conn, error) {
@@ -45,10 +45,10 @@
 }
 
 // tunnelTo opens a tunnel through a carrier.
-func tunnelTo(t *testing.T, carrier *Transport[control.Message], target string) net.Conn {
+func tunnelTo(t *testing.T, relayTransport *Transport[control.Message], target string) net.Conn {
 	t.Helper()
 	near := listen(t, "key", func(control.Message) {})
-	conn, err := near.Tunnel(context.Background(), carrier.Address(), target)
+	conn, err := near.Tunnel(context.Background(), relayTransport.Address(), target)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 
 // TestTunnelCarriesBytesAndTheEnd covers both directions of a tunnel, and an end that the target has chosen.
 func TestTunnelCarriesBytesAndTheEnd(t *testing.T) {
-	const size = 3*maxPieceBytes + 17
+	const size = 3*maxChunkBytes + 17
 	address := target(t, func(conn *net.TCPConn) {
 		defer conn.Close()
 		content := make([]byte, size)
@@ -69,7 +69,7 @@
 			_, _ = conn.Write(content)
 		}
 	})
-	conn := tunnelTo(t, carrier(t), address)
+	conn := tunnelTo(t, relayTransport(t), address)
 	sent := make([]byte, size)
 	for i := range sent {
 		sent[i] = byte(i)
@@ -93,18 +93,18 @@
 		_ = conn.Close()
 	}
 	t.Run("target resets", func(t *testing.T) {
-		conn := tunnelTo(t, carrier(t), target(t, reset))
+		conn := tunnelTo(t, relayTransport(t), target(t, reset))
 		if got, err := io.ReadAll(conn); err == nil {
 			t.Errorf("%q ends well", got)
 		}
 	})
 	t.Run("carrier ends", func(t *testing.T) {
-		through := carrier(t)
-		conn := tunnelTo(t, through, target(t, func(conn *net.TCPConn) { _, _ = conn.Write([]byte("a part")) }))
+		relay := relayTransport(t)
+		conn := tunnelTo(t, relay, target(t, func(conn *net.TCPConn) { _, _ = conn.Write([]byte("a part")) }))
 		if _, err := io.ReadFull(conn, make([]byte, 6)); err != nil {
 			t.Fatal(err)
 		}
-		through.Close()
+		relay.Close()
 		if got, err := io.ReadAll(conn); err == nil {
 			t.Errorf("%q ends well", got)
 		}
@@ -118,7 +118,7 @@
 		_, err := io.ReadAll(conn)
 		ended <- err
 	})
-	conn := tunnelTo(t, carrier(t), address)
+	conn := tunnelTo(t, relayTransport(t), address)
 	if _, err := conn.Write([]byte("a request")); err != nil {
 		t.Fatal(err)
 	}
@@ -151,22 +151,22 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			through := listen(t, "key", func(control.Message) {})
+			relay := listen(t, "key", func(control.Message) {})
 			if c.connect != nil {
-				through.Carry(c.connect)
+				relay.Carry(c.connect)
 			}
-			if _, err := near.Tunnel(context.Background(), through.Address(), "127.0.0.1:1"); !c.want(err) {
+			if _, err := near.Tunnel(context.Background(), relay.Address(), "127.0.0.1:1"); !c.want(err) {
 				t.Errorf("error %v", err)
 			}
 		})
 	}
 	t.Run("another key", func(t *testing.T) {
 		stranger := listen(t, "other", func(control.Message) {})
-		through := carrier(t)
-		if _, err := stranger.Tunnel(context.Background(), through.Address(), "127.0.0.1:1"); !ErrRelay.Has(err) {
+		relay := relayTransport(t)
+		if _, err := stranger.Tunnel(context.Background(), relay.Address(), "127.0.0.1:1"); !ErrRelay.Has(err) {
 			t.Errorf("error %v", err)
 		}
-		rejected(through)
+		rejected(relay)
 	})
 }
 
@@ -181,26 +181,26 @@
 			_, _ = conn.Write(buffer)
 		}
 	})
-	through := carrier(t)
-	resting, busy := tunnelTo(t, through, address), tunnelTo(t, through, address)
-	if !idle.IsOpen(resting) {
+	relay := relayTransport(t)
+	idleConn, busyConn := tunnelTo(t, relay, address), tunnelTo(t, relay, address)
+	if !idle.IsOpen(idleConn) {
 		t.Fatal("an unused tunnel is not open")
 	}
-	through.Retire()
-	for idle.IsOpen(resting) {
+	relay.Retire()
+	for idle.IsOpen(idleConn) {
 		time.Sleep(time.Millisecond)
 	}
-	if _, err := busy.Write([]byte("x")); err != nil {
+	if _, err := busyConn.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadFull(busy, make([]byte, 1)); err != nil {
+	if _, err := io.ReadFull(busyConn, make([]byte, 1)); err != nil {
 		t.Errorf("what has begun is broken off: %v", err)
 	}
-	if !busy.(*tunnelConn).Retiring() {
+	if !busyConn.(*tunnelConn).Retiring() {
 		t.Error("the near end does not know")
 	}
 	near := listen(t, "key", func(control.Message) {})
-	if _, err := near.Tunnel(context.Background(), through.Address(), address); !ErrRelayDeclined.Has(err) {
+	if _, err := near.Tunnel(context.Background(), relay.Address(), address); !ErrRelayDeclined.Has(err) {
 		t.Errorf("a new tunnel: error %v", err)
 	}
 }
