--- a/member/clock_test.go
+++ b/member/clock_test.go
@@ -8,7 +8,7 @@
 	"github.com/wheatweir/wheatweir/member"
 )
 
-// restart replaces a daemon by a new process of it whose time of day is wrong by a span.
+// restart replaces a daemon by a new process whose time of day is off by clockOffset.
 func (g *group) restart(index int, clockOffset time.Duration, self func(*member.Member)) {
 	next := member.Member{
 		Name: fmt.Sprintf("d%d", index), PeerAddress: address(index), Incarnation: uint64(g.now.Add(clockOffset).UnixMilli()),
@@ -21,10 +21,10 @@
 	g.stopped[index] = false
 }
 
-// TestRestartWithAClockThatWentBack covers a daemon whose time of day jumped back before it was
-// started again, so that its new incarnation is lower than its last one: after a planned stop, a
-// kill or a death that the others have noticed, and at another address. They take the new process
-// for what it says of itself within five seconds.
+// TestRestartWithAClockThatWentBack covers a daemon whose clock was set back before a restart, so
+// that its new incarnation is lower than its last one. It restarts after a planned stop, a kill or
+// a death that the others have detected, and at another address. Within five seconds the others
+// must have the new process's own entry.
 func TestRestartWithAClockThatWentBack(t *testing.T) {
 	const clockOffset = -100 * time.Second
 	cases := []struct {
@@ -37,7 +37,7 @@
 			g.detectors[3].Leave()
 			g.run(time.Second)
 		}, nil},
-		{"after its death is known", func(g *group) {
+		{"after its death is detected", func(g *group) {
 			g.stopped[3] = true
 			g.run(30 * time.Second)
 		}, nil},
@@ -56,15 +56,15 @@
 				known, found := detector.Lookup("d3")
 				want := g.detectors[3].Self()
 				if !found || known.State != member.Alive || known.Leaving || known.CallerAddress != want.CallerAddress {
-					t.Errorf("d%d knows %+v", index, known)
+					t.Errorf("d%d has the entry %+v", index, known)
 				}
 			}
 		})
 	}
 }
 
-// TestLeavingDaemonStaysLeaving covers the other side: a daemon that is leaving does not take it
-// back when it hears of itself.
+// TestLeavingDaemonStaysLeaving guards against a leaving daemon that refutes its own Leaving when
+// it receives an update about itself.
 func TestLeavingDaemonStaysLeaving(t *testing.T) {
 	g := newGroup(5, 1)
 	g.run(10 * time.Second)
@@ -72,7 +72,7 @@
 	g.run(10 * time.Second)
 	for index, detector := range g.detectors {
 		if known, _ := detector.Lookup("d2"); !known.Leaving {
-			t.Errorf("d%d knows %+v", index, known)
+			t.Errorf("d%d has the entry %+v", index, known)
 		}
 	}
 }
--- a/member/detector.go
+++ b/member/detector.go
@@ -35,20 +35,20 @@
 
 	digest       digest
 	lastExchange time.Time
-	// agreed counts the daemons in a row that were heard to know the same members.
+	// consecutiveAgreements counts the last daemons in a row whose digest equalled the own one.
 	consecutiveAgreements int
-	// receivedAll is set once a full answer has arrived since this daemon started.
+	// receivedFullState is set once a complete answer has arrived since this daemon started.
 	receivedFullState bool
 }
 
 type entry struct {
 	Member
 	since time.Time
-	// informed is the incarnation that was last sent everything that is known here.
+	// fullStateIncarnation is the incarnation of the member to which the full state was last sent.
 	fullStateIncarnation uint64
 }
 
-// NewDetector returns a detector that knows only itself.
+// NewDetector returns a detector whose only member is this daemon.
 func NewDetector(self Member, settings Settings, random *rand.Rand) *Detector {
 	detector := &Detector{
 		settings:      settings,
@@ -70,8 +70,8 @@
 // Revision changes whenever a member or back end changes.
 func (d *Detector) Revision() uint64 { return d.revision }
 
-// SetSeeds gives peer addresses to probe while they are not members, such as
-// those of the platform's machine list.
+// SetSeeds sets peer addresses that are probed while no member has them, such as those of the
+// platform's machine list.
 func (d *Detector) SetSeeds(addresses []string) { d.seeds = addresses }
 
 // Leave announces a planned stop of this daemon.
@@ -81,7 +81,7 @@
 	d.announceSelf(before)
 }
 
-// announceSelf tells the others of this daemon, which was known as before.
+// announceSelf queues an update about this daemon, whose entry was before until now.
 func (d *Detector) announceSelf(before Member) {
 	d.digest.replace(&before, &d.self)
 	d.memberUpdates.add(d.self.Name, d.self, true)
--- a/member/detector_test.go
+++ b/member/detector_test.go
@@ -12,8 +12,8 @@
 	"github.com/wheatweir/wheatweir/member"
 )
 
-// group drives detectors in steps of a tenth of a second. Messages arrive in
-// the next step unless their sender or receiver is off or their link is cut.
+// group simulates detectors in steps of 100 ms. Messages arrive in the next step unless the sender
+// or receiver is stopped or their link is cut.
 type group struct {
 	now       time.Time
 	detectors []*member.Detector
@@ -22,9 +22,10 @@
 	queue     []member.Packet
 	random    *rand.Rand
 	loss      float64
-	// zones is in how many zones the detectors made from now on are, by turns; one if it is zero.
+	// zones is the number of zones over which new detectors are distributed in turn; zero means
+	// one.
 	zones int
-	// rumors counts the rumors sent, and farRumors those to another zone.
+	// rumors counts the rumors sent, and crossZoneRumors those to another zone.
 	rumors, crossZoneRumors int
 }
 
@@ -97,7 +98,7 @@
 	}
 }
 
-// requireLive checks whom every running daemon holds for live.
+// requireLive checks the set of live members at every running daemon.
 func (g *group) requireLive(t interface {
 	Helper()
 	Fatalf(string, ...any)
@@ -114,7 +115,7 @@
 		for other := range g.detectors {
 			name := fmt.Sprintf("d%d", other)
 			if live[name] != want(other) {
-				t.Fatalf("d%d holds %s for live: %v, want %v", index, name, live[name], want(other))
+				t.Fatalf("d%d has %s as live: %v, want %v", index, name, live[name], want(other))
 			}
 		}
 	}
@@ -137,7 +138,7 @@
 			g.run(settle)
 			g.stopped[2] = false
 		}, all},
-		{"a restart without memory", func(g *group) {
+		{"a restart without state", func(g *group) {
 			g.stopped[2] = true
 			g.run(5 * time.Second)
 			g.detectors[2], g.stopped[2] = g.newDetector(2), false
@@ -179,7 +180,7 @@
 		for index := range 2 {
 			known, _ := g.detectors[index].Lookup("d2")
 			if !known.Leaving {
-				t.Fatalf("d%d forgot that d2 is leaving, in state %s", index, known.State)
+				t.Fatalf("d%d no longer has d2 as leaving, in state %s", index, known.State)
 			}
 		}
 	}
@@ -198,7 +199,7 @@
 		changed bool
 		want    member.BackEndState
 	}{
-		{"the same again is no news", observation{"b1", up}, observation{"b1", up}, false, up},
+		{"the same state again is no change", observation{"b1", up}, observation{"b1", up}, false, up},
 		{"down after up", observation{"b1", up}, observation{"b1", down}, true, down},
 		{"up after down", observation{"b1", down}, observation{"b1", up}, true, up},
 		{"up after leaving", observation{"b1", leaving}, observation{"b1", up}, true, up},
@@ -211,14 +212,14 @@
 			detector.ObserveBackEnd("e", c.first.boot, c.first.state)
 			changed := detector.ObserveBackEnd("e", c.second.boot, c.second.state)
 			if got, _ := detector.BackEnd("e"); got.State != c.want || changed != c.changed {
-				t.Fatalf("state %s news %v, want %s %v", got.State, changed, c.want, c.changed)
+				t.Fatalf("state %s, changed %v; want %s, %v", got.State, changed, c.want, c.changed)
 			}
 		})
 	}
 }
 
-// TestNewsReachesADaemonThatMissedIt covers a pause that outlasts the time for
-// which news goes round.
+// TestNewsReachesADaemonThatMissedIt covers a pause that is longer than the time for which an
+// update circulates.
 func TestNewsReachesADaemonThatMissedIt(t *testing.T) {
 	g := newGroup(5, 1)
 	g.run(20 * time.Second)
@@ -235,8 +236,8 @@
 	}
 }
 
-// TestTakeoverCanReportDown covers a daemon that takes over a back end of which
-// it has heard long ago, while others have had newer reports since.
+// TestTakeoverCanReportDown covers a daemon that takes over a back end whose state it received long
+// ago, while others have received newer reports since.
 func TestTakeoverCanReportDown(t *testing.T) {
 	g := newGroup(3, 1)
 	g.detectors[0].ObserveBackEnd("e", "b1", member.BackEndUp)
@@ -253,8 +254,8 @@
 	}
 }
 
-// TestMembershipSettles lets random kills, pauses, restarts and cuts happen and
-// checks that the view of all daemons is right once they have ended.
+// TestMembershipSettles injects random kills, pauses, restarts and cuts, and checks that all
+// daemons have the right view once the faults have ended.
 func TestMembershipSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGroup(5, rapid.Uint64().Draw(t, "seed"))
@@ -280,7 +281,7 @@
 	})
 }
 
-// unaware counts the daemons that still hold a victim for alive.
+// unaware counts the daemons that still have a victim as alive.
 func (g *group) unaware(victim int) int {
 	count := 0
 	for index, detector := range g.detectors {
@@ -292,10 +293,10 @@
 	return count
 }
 
-// TestManyDaemonsHearOfALossSoon turns one daemon of many off a few seconds after they
-// have all started, while news of the start still goes round: all others hear of the
-// loss within four probe intervals of it: one or two until somebody probes it, one until
-// the probe counts as unanswered, the rest for the news.
+// TestManyDaemonsHearOfALossSoon stops one of many daemons a few seconds after they have all
+// started, while updates about the start are still circulating. All others must detect the loss
+// within four probe intervals: one or two until a daemon probes it, one until the probe counts as
+// unacknowledged, the rest for the propagation.
 func TestManyDaemonsHearOfALossSoon(t *testing.T) {
 	const size, victim = 71, 9
 	for seed := range uint64(10) {
@@ -304,13 +305,13 @@
 		g.stopped[victim] = true
 		g.run(4 * member.DefaultSettings().ProbeInterval)
 		if unaware := g.unaware(victim); unaware > 0 {
-			t.Errorf("seed %d: %d of %d daemons still hold it for alive", seed, unaware, size-1)
+			t.Errorf("seed %d: %d of %d daemons still have the victim as alive", seed, unaware, size-1)
 		}
 	}
 }
 
-// TestRumorsMostlyStayInTheirZone does the same with twice as many daemons in five zones, for one
-// probe interval more: one rumor in four at most goes to another zone.
+// TestRumorsMostlyStayInTheirZone covers a loss among twice as many daemons in five zones and
+// allows one probe interval more. At most one rumor in four may go to another zone.
 func TestRumorsMostlyStayInTheirZone(t *testing.T) {
 	const size, victim = 150, 9
 	for seed := range uint64(5) {
@@ -325,40 +326,41 @@
 		g.stopped[victim] = true
 		g.run(5 * member.DefaultSettings().ProbeInterval)
 		if unaware := g.unaware(victim); unaware > 0 {
-			t.Errorf("seed %d: %d of %d daemons still hold it for alive", seed, unaware, size-1)
+			t.Errorf("seed %d: %d of %d daemons still have the victim as alive", seed, unaware, size-1)
 		}
 		if g.rumors < size || g.crossZoneRumors*4 > g.rumors {
-			t.Errorf("seed %d: %d of %d rumors go to another zone", seed, g.crossZoneRumors, g.rumors)
+			t.Errorf("seed %d: %d of %d rumors crossed zones", seed, g.crossZoneRumors, g.rumors)
 		}
 	}
 }
 
-// TestAMessageTellsEachPieceOfNewsOnce holds also while one piece is more urgent than
-// all others.
+// TestAMessageTellsEachPieceOfNewsOnce guards against a message with two updates about one member,
+// also while one update is more urgent than all others.
 func TestAMessageTellsEachPieceOfNewsOnce(t *testing.T) {
 	g := newGroup(9, 1)
 	g.run(2 * time.Second)
 	g.detectors[0].Leave()
 	packets := g.detectors[0].Tick(g.now)
 	if len(packets) < member.DefaultSettings().RumorFanOut {
-		t.Fatalf("%d messages after the stop began", len(packets))
+		t.Fatalf("%d messages after Leave, want at least RumorFanOut", len(packets))
 	}
 	for _, packet := range packets {
 		included := map[string]bool{}
 		for _, update := range packet.Message.Members {
 			if included[update.Name] {
-				t.Errorf("%s is told twice in one message", update.Name)
+				t.Errorf("%s has two updates in one message", update.Name)
 			}
 			included[update.Name] = true
 		}
 		if !included["d0"] {
-			t.Errorf("a message after the stop began does not tell of it: %v", included)
+			t.Errorf("a message after Leave has no update about d0: %v", included)
 		}
 	}
 }
 
-// TestJoinerIsToldEverythingThoughAnAnswerIsLost guards against a restarted daemon that serves without
-// knowing the back ends because the full answer to its first ping was lost and is not sent again for 20 s.
+// TestJoinerIsToldEverythingThoughAnAnswerIsLost guards against a restarted daemon that serves
+// without the back ends, because the full answer to its first ping was lost and is not sent again
+// for 20 s.
 func TestJoinerIsToldEverythingThoughAnAnswerIsLost(t *testing.T) {
 	g := newGroup(3, 7)
 	g.run(2 * time.Second)
@@ -388,10 +390,9 @@
 	}
 }
 
-// TestJoinerIsToldEverythingByItsFirstPing covers a daemon that starts anew and that
-// the others hear of before its own ping reaches them: by its answer to a ping of
-// theirs. It must be told of the back ends all the same, and at once, also while the
-// others have just exchanged everything among each other.
+// TestJoinerIsToldEverythingByItsFirstPing covers a restarted daemon that the others discover
+// before its own ping reaches them: by its answer to one of their pings. It must still receive the
+// back ends with its first ping, also while the others have just exchanged their full state.
 func TestJoinerIsToldEverythingByItsFirstPing(t *testing.T) {
 	g := newGroup(3, 7)
 	g.run(2 * time.Second)
@@ -411,7 +412,7 @@
 	g.run(2 * time.Second)
 	for engine := range 20 {
 		if _, found := joiner.BackEnd(fmt.Sprint("engine-", engine)); !found {
-			t.Errorf("the joiner was not told of engine-%d", engine)
+			t.Errorf("the joiner has no state for engine-%d", engine)
 		}
 	}
 }
--- a/member/digest.go
+++ b/member/digest.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	// digestBuckets is how many parts the digest of the members has. A message tells up to so many, see
-	// foldedBuckets.
+	// digestBuckets is the number of buckets in the digest of the members. A message carries at
+	// most this many; see foldedBuckets.
 	digestBuckets = 256
-	// membersPerBucket is how many members share a part in a message, about.
+	// membersPerBucket is the approximate number of members that share a bucket in a message.
 	membersPerBucket = 4
 )
 
-// digest sums up what is known of members and back ends, and does not depend on the order in which it was learned.
-// Suspicions and deaths are left out: the first pass quickly, and the second are forgotten at different times.
+// digest is an order-independent checksum of the known members and back ends. Suspicions and deaths
+// are left out: suspicions are short-lived, and dead members are removed at different times on
+// different daemons.
 type digest struct {
 	// buckets are the sums over the members whose names hash to them.
 	buckets  [digestBuckets]uint32
 	backEnds uint64
 }
 
-// replace takes a member out of the digest as it was, and in as it is; both may be missing.
+// replace subtracts the old entry of a member and adds the new one; either may be nil.
 func (g *digest) replace(before, after *Member) {
 	for _, known := range []*Member{before, after} {
 		if known == nil || known.State == Dead {
@@ -37,7 +38,7 @@
 	}
 }
 
-// replaceBackEnd does the same with news about a back end.
+// replaceBackEnd subtracts the old entry of a back end, if there is one, and adds the new one.
 func (g *digest) replaceBackEnd(before, after *BackEnd) {
 	if before != nil {
 		g.backEnds -= backEndDigest(before)
@@ -45,7 +46,7 @@
 	g.backEnds += backEndDigest(after)
 }
 
-// sum is one number for all of it.
+// sum combines all buckets and the back ends into one number.
 func (g *digest) sum() uint64 {
 	total := g.backEnds
 	for index, bucket := range g.buckets {
@@ -54,7 +55,7 @@
 	return total
 }
 
-// foldedBuckets returns the sums in so many parts as a group of a size tells.
+// foldedBuckets returns the sums folded into the number of buckets that suits the group size.
 func (g *digest) foldedBuckets(groupSize int) []uint32 {
 	count := min(digestBuckets, 1<<bits.Len(uint(groupSize/membersPerBucket)))
 	folded := make([]uint32, count)
@@ -64,7 +65,7 @@
 	return folded
 }
 
-// differing returns the places at which the sums of another daemon are not those here.
+// differing returns the indices of the buckets whose sums differ from those of another daemon.
 func (g *digest) differing(other []uint32) map[int]bool {
 	if len(other) == 0 || digestBuckets%len(other) != 0 {
 		return nil
--- a/member/exchange.go
+++ b/member/exchange.go
@@ -1,10 +1,11 @@
 package member
 
-// mostExchanged bounds the members that one message of an exchange tells. What is left out is told by a later one.
+// maxExchangedMembers bounds the members in one message of an exchange. A later exchange sends the
+// rest.
 const maxExchangedMembers = 128
 
-// exchange answers an Ack of a daemon that knows other members than this one: it tells what is known here of the
-// buckets that differ, and with the own sums asks for what is known there.
+// startExchange answers an Ack of a daemon whose digest of the members differs. The reply carries
+// the members in the differing buckets; with the own sums it requests the other daemon's members.
 func (d *Detector) startExchange(message *Message) []Packet {
 	differingBuckets := d.digest.differing(message.Buckets)
 	if len(differingBuckets) == 0 {
@@ -16,7 +17,7 @@
 	return []Packet{{message.Sender.PeerAddress, reply}}
 }
 
-// exchanged answers what is known here of the buckets in which the sender knew something else.
+// handleExchange returns the members in the buckets in which the sender's sums differed.
 func (d *Detector) handleExchange(message *Message, differingBuckets map[int]bool) []Packet {
 	if len(differingBuckets) == 0 {
 		return nil
@@ -26,8 +27,9 @@
 	return []Packet{{message.Sender.PeerAddress, reply}}
 }
 
-// membersIn returns members of some of so many buckets, this daemon left out: each message names its sender. If
-// there are too many, chance draws which.
+// membersInBuckets returns the members in some of count buckets. This daemon is left out, since
+// each message names its sender. If there are more than maxExchangedMembers, a random sample is
+// returned.
 func (d *Detector) membersInBuckets(buckets map[int]bool, count int) []Member {
 	var found []Member
 	for name, known := range d.members {
--- a/member/exchange_test.go
+++ b/member/exchange_test.go
@@ -11,7 +11,8 @@
 	"github.com/wheatweir/wheatweir/member"
 )
 
-// knowing returns a detector that has heard of so many members, of which some have started anew since.
+// detectorWithMembers returns a detector with count known members, of which some have restarted
+// since.
 func detectorWithMembers(name string, count, restarted int) *member.Detector {
 	self := member.Member{Name: name, Zone: "z", PeerAddress: name, Incarnation: 1}
 	detector := member.NewDetector(self, member.DefaultSettings(), rand.New(rand.NewPCG(1, 2)))
@@ -25,7 +26,7 @@
 	return detector
 }
 
-// bytesOf is the size of a message as it is sent.
+// encodedSize returns the size of a message in bytes as it is sent.
 func encodedSize(t *testing.T, message member.Message) int {
 	t.Helper()
 	body, err := msgpack.Marshal(&message)
@@ -35,14 +36,14 @@
 	return len(body)
 }
 
-// TestDaemonsThatDifferExchangeTheDifference has a daemon ping another one that knows of some restarts more. It guards
-// against answers that tell everything, which in a fleet of 1,000 are 90 kB a second for each daemon while some members
-// come and go.
+// TestDaemonsThatDifferExchangeTheDifference has a daemon ping another one that has recorded some
+// more restarts. It guards against answers with the full state. In a fleet of 1,000 those are 90
+// kB/s for each daemon while some members join and leave.
 func TestDaemonsThatDifferExchangeTheDifference(t *testing.T) {
 	const members, restarted, maxBytes = 1000, 10, 12000
 	a, b := detectorWithMembers("a", members, 0), detectorWithMembers("b", members, restarted)
 	now := time.Unix(1100, 0)
-	// They have told each other everything when they joined.
+	// Both have sent each other the full state when they joined.
 	for _, pair := range [][2]*member.Detector{{a, b}, {b, a}} {
 		pair[1].Receive(now, member.Message{Kind: member.Ping, Sender: pair[0].Self()})
 	}
@@ -62,15 +63,16 @@
 	}
 	for i := range restarted {
 		if known, _ := a.Lookup(fmt.Sprint("d", i)); known.Incarnation != 2 {
-			t.Errorf("d%d is known by its incarnation %d", i, known.Incarnation)
+			t.Errorf("d%d has the incarnation %d, want 2", i, known.Incarnation)
 		}
 	}
 	if total > maxBytes {
-		t.Errorf("%d bytes, at most %d wanted", total, maxBytes)
+		t.Errorf("exchange took %d bytes, want at most %d", total, maxBytes)
 	}
 }
 
-// BenchmarkNewsAfterACommonStart sends messages while all members of a large group are news.
+// BenchmarkNewsAfterACommonStart measures message handling while updates about all members of a
+// large group are queued.
 func BenchmarkNewsAfterACommonStart(b *testing.B) {
 	detector := detectorWithMembers("a", 1000, 0)
 	now := time.Unix(1100, 0)
--- a/member/merge.go
+++ b/member/merge.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Receive takes in a message and returns the messages to send in answer.
+// Receive processes a message and returns the messages to send in answer.
 func (d *Detector) Receive(now time.Time, message Message) []Packet {
 	differingBuckets := d.digest.differing(message.Buckets)
 	d.merge(now, message.Sender)
@@ -33,11 +33,13 @@
 	return nil
 }
 
-// agreedEnough is how many daemons in a row that know the same members say that all do.
+// minConsecutiveAgreements is how many daemons in a row must have the same digest before all are
+// assumed to have it.
 const minConsecutiveAgreements = 3
 
-// noteAgreement takes in whether another daemon knows the same members. News that is not urgent, who has been heard of
-// for the first time, is dropped once several in a row do: whoever lacks it hears it by an exchange.
+// recordAgreement records whether another daemon has the same digest. Once several in a row do,
+// updates that are not urgent, about members seen for the first time, are dropped. A daemon that
+// lacks one receives it by an exchange.
 func (d *Detector) recordAgreement(remoteDigest uint64) {
 	if remoteDigest != d.digest.sum() {
 		d.consecutiveAgreements = 0
@@ -48,16 +50,17 @@
 	}
 }
 
-// ackFor answers a ping. A sender whose digest shows that it knows something else gets
-// everything if it was not sent that since it joined, or reports that it has not received such
-// an answer. Else it gets the sums of the buckets of members and all back ends, if the last such
-// answer is some time ago, since the news that it lacks may no longer be going round. That
-// it joined may have been heard here before its first ping came.
+// ackFor answers a ping. If the sender's digest differs, the answer takes one of two forms. The
+// sender gets the full state if it was not sent that since it joined, or if it reports that it has
+// not received such an answer. Otherwise it gets the sums of the buckets of members and all back
+// ends, provided that ExchangeInterval has passed since the last such answer: the updates that it
+// lacks may no longer be in circulation. Whether the full state was sent is recorded separately
+// from the join, since this daemon may learn of a member before that member's first ping arrives.
 func (d *Detector) ackFor(now time.Time, message Message) Message {
 	ack := d.message(Ack, message.Sequence)
 	ack.KnowsLeaving = d.members[message.Sender.Name].Leaving
 	if known := d.members[message.Sender.Name]; known.State >= Suspect || known.Incarnation > message.Sender.Incarnation {
-		// The sender has to hear that, to refute it.
+		// The sender needs this entry to refute it.
 		ack.Members = append(ack.Members, known.Member)
 	}
 	ack.Complete = d.hasFullState() && message.Digest == ack.Digest
@@ -76,14 +79,15 @@
 	return ack
 }
 
-// informed reports whether this daemon has received everything since it started. After
-// maxUninformedIntervals it returns true regardless: if all daemons start at once, none of them
+// hasFullState reports whether this daemon has received the full state since it started. After
+// fullStateTimeoutIntervals it returns true regardless: if all daemons start at once, none of them
 // can send a complete answer before that.
 func (d *Detector) hasFullState() bool {
 	return d.receivedFullState || d.intervalCount > fullStateTimeoutIntervals
 }
 
-// informs reports whether a member was not sent everything since it joined, and notes that it is.
+// markFullStateSent reports whether a member was not yet sent the full state since it joined, and
+// records that it is sent now.
 func (d *Detector) markFullStateSent(receiver Member) bool {
 	known := d.members[receiver.Name]
 	if known == nil || known.fullStateIncarnation >= receiver.Incarnation {
@@ -115,8 +119,8 @@
 	return []Packet{{pending.requester, d.message(Ack, pending.sequence)}}
 }
 
-// merge takes in news about one member. Higher incarnations win; at the same
-// incarnation the higher state wins, and a member that is leaving stays so.
+// merge applies an update about one member. Higher incarnations win; at the same incarnation the
+// higher state wins, and a member that is leaving stays so.
 func (d *Detector) merge(now time.Time, update Member) {
 	if update.Name == d.self.Name {
 		d.refute(update)
@@ -160,16 +164,16 @@
 	if update.State != Dead && (!found || known.State == Dead) {
 		d.insertIntoProbeOrder(update.Name)
 	}
-	// Who has just been heard of for the first time matters less than what has changed
-	// at a known member.
+	// An update about a member seen for the first time is less urgent than a change of a known
+	// member.
 	d.memberUpdates.add(update.Name, update, found)
 	d.recordChange()
 }
 
-// refute answers news about this daemon that is not true by a higher incarnation: a suspicion, or
-// what an earlier process of it said under a higher incarnation. That begins at the time of day,
-// which may have gone back since; the new process would else be taken for the old one, which may
-// have been leaving.
+// refute answers a false update about this daemon with a higher incarnation. The update is a
+// suspicion, or the entry of an earlier process of this daemon with a higher incarnation.
+// Incarnations begin at the time of day, which may have been set back since. Without the refutation
+// the new process would be taken for the old one, which may have been leaving.
 func (d *Detector) refute(update Member) {
 	earlierProcess := update.Incarnation > d.self.Incarnation
 	suspicion := update.Incarnation == d.self.Incarnation && update.State >= Suspect
@@ -181,8 +185,8 @@
 	d.announceSelf(before)
 }
 
-// ObserveBackEnd takes in an own observation of a back end. It returns whether
-// it is news: another boot or state than the known one.
+// ObserveBackEnd records a first-hand observation of a back end. It returns whether the boot or the
+// state differs from the known one.
 func (d *Detector) ObserveBackEnd(name, boot string, state BackEndState) bool {
 	known, found := d.backEnds[name]
 	update := BackEnd{Name: name, Boot: boot, Change: 1, State: state}
@@ -197,7 +201,7 @@
 	return d.mergeBackEnd(update)
 }
 
-// mergeBackEnd takes in news about a back end if it is newer.
+// mergeBackEnd applies an update about a back end if it is newer, and returns whether it is.
 func (d *Detector) mergeBackEnd(update BackEnd) bool {
 	known, found := d.backEnds[update.Name]
 	switch {
--- a/member/probe.go
+++ b/member/probe.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// deadProbeEvery is how many probe intervals pass between two probes of a dead
-// member, which is how two halves of a healed partition find each other.
+// deadProbeIntervals is how many probe intervals pass between two probes of a dead member. These
+// probes let the two halves of a healed partition find each other.
 const deadProbeIntervals = 5
 
-// deadForgetIntervals is how many probe intervals a dead member is remembered.
+// deadRetentionIntervals is how many probe intervals a dead member is kept.
 const deadRetentionIntervals = 3600
 
-// maxUninformedIntervals bounds how many probe intervals after its start a daemon requests everything.
+// fullStateTimeoutIntervals bounds how many probe intervals after its start a daemon requests the
+// full state.
 const fullStateTimeoutIntervals = 10
 
-// probe is the direct probe under way.
+// probe is the direct probe in progress.
 type probe struct {
 	name             string
 	sequence         uint64
@@ -25,15 +26,15 @@
 	acknowledged     bool
 }
 
-// relay is a probe made for another member.
+// relayedProbe is a probe that is made on behalf of another member.
 type relayedProbe struct {
 	requester string
 	sequence  uint64
 	startedAt time.Time
 }
 
-// Tick advances the detector and returns the messages to send. It should be
-// called a few times in each probe timeout.
+// Tick advances the detector and returns the messages to send. It should be called a few times in
+// each probe timeout.
 func (d *Detector) Tick(now time.Time) []Packet {
 	var packets []Packet
 	packets = d.sendPingRequests(now, packets)
@@ -43,7 +44,7 @@
 	}
 	d.suspectUnacknowledged(now)
 	d.expireSuspects(now)
-	d.expireRelays(now)
+	d.expireRelayedProbes(now)
 	d.nextProbe = now.Add(d.settings.ProbeInterval)
 	d.intervalCount++
 	packets = d.startProbe(now, packets)
@@ -84,9 +85,9 @@
 	return packets
 }
 
-// tellRumors passes urgent news on at once. News that only rides on probes takes
-// seconds to reach a large group, while every daemon that lacks it sends clients to a
-// daemon that is gone.
+// sendRumors forwards urgent updates at once. Updates that are only piggybacked on probes take
+// seconds to reach a large group, while every daemon that lacks them sends clients to a daemon that
+// is gone.
 func (d *Detector) sendRumors(now time.Time, packets []Packet) []Packet {
 	if now.Sub(d.lastRumorAt) < d.settings.RumorPause || !d.memberUpdates.urgentPending(d.settings.RumorFanOut) {
 		return packets
@@ -98,9 +99,9 @@
 	return packets
 }
 
-// rumorReceivers draws the members to tell: one of another zone, and the others of the own one as
-// far as there are so many. Each zone then hears of a change from many daemons of the others, and
-// most messages do not cross between zones.
+// rumorTargets draws the members that receive a rumor: one of another zone, and the others of the
+// own zone as far as it has enough. Each zone thus receives a change from many daemons of other
+// zones, while most messages do not cross between zones.
 func (d *Detector) rumorTargets() []string {
 	var sameZone, otherZones []string
 	for _, name := range d.Live() {
@@ -167,7 +168,7 @@
 	return names
 }
 
-func (d *Detector) expireRelays(now time.Time) {
+func (d *Detector) expireRelayedProbes(now time.Time) {
 	for sequence, pending := range d.relayedProbes {
 		if now.Sub(pending.startedAt) > 2*d.settings.ProbeInterval {
 			delete(d.relayedProbes, sequence)
@@ -186,7 +187,7 @@
 	return append(packets, Packet{d.members[name].PeerAddress, d.message(Ping, d.sequence)})
 }
 
-// target is the member to probe in this interval.
+// target returns the member to probe in this interval.
 func (d *Detector) target() string {
 	if d.intervalCount%successorProbeIntervals == 1 {
 		return d.successor()
@@ -194,13 +195,13 @@
 	return d.nextTarget()
 }
 
-// successorEvery is how many probe intervals pass between two probes of the member that follows this daemon
-// in the order of names.
+// successorProbeIntervals is how many probe intervals pass between two probes of the member that
+// follows this daemon in the order of names.
 const successorProbeIntervals = 2
 
-// successor returns the member that is alive and follows this daemon in the order of names, which all know alike. Each
-// member is thus probed by the one before it at a fixed pace, where random probes of many leave out one in
-// e in each interval, and may do so several times in a row.
+// successor returns the alive member that follows this daemon in the order of names, which is the
+// same at all daemons. Each member is thus probed by its predecessor at a fixed rate. Random probes
+// of many daemons miss one member in e in each interval, and may miss it several times in a row.
 func (d *Detector) successor() string {
 	live := d.Live()
 	index, _ := slices.BinarySearch(live, d.self.Name)
@@ -213,8 +214,8 @@
 	return ""
 }
 
-// nextTarget walks over all live members in a random order, and shuffles anew
-// after each round, so that each member is probed once a round.
+// nextTarget walks over all live members in a random order and reshuffles after each round, so that
+// each member is probed once a round.
 func (d *Detector) nextTarget() string {
 	for range 2 {
 		for len(d.probeOrder) > 0 {
@@ -236,9 +237,10 @@
 	return ""
 }
 
-// joinProbeOrder gives a member that has come up a random place in the round under way. A round takes as many
-// intervals as there are members: one that has come up since it began would not be probed by this daemon for
-// so long, and after a common start, when most come up in the rounds of a few, hardly by anybody.
+// insertIntoProbeOrder inserts a member that has come up at a random position of the round in
+// progress. A round takes as many intervals as there are members, and this daemon would not probe
+// the new member for that long. After a simultaneous start, when most members come up during the
+// rounds of a few, hardly any daemon would probe it.
 func (d *Detector) insertIntoProbeOrder(name string) {
 	if name == d.self.Name || slices.Contains(d.probeOrder, name) {
 		return
@@ -259,12 +261,12 @@
 	chosen := d.members[dead[d.random.IntN(len(dead))]]
 	d.sequence++
 	message := d.message(Ping, d.sequence)
-	// The member must hear that it is held for dead, or it cannot refute.
+	// The member must receive its own entry with the state dead, or it cannot refute it.
 	message.Members = append(message.Members, chosen.Member)
 	return append(packets, Packet{chosen.PeerAddress, message})
 }
 
-// probeSeed probes one seed address that no member has.
+// probeSeed probes a randomly chosen seed address unless a member has it.
 func (d *Detector) probeSeed(packets []Packet) []Packet {
 	if len(d.seeds) == 0 {
 		return packets
@@ -299,8 +301,8 @@
 	}
 }
 
-// Tell returns a direct probe of one member, which tells it of this daemon's
-// own state. Its acknowledgement comes like any other.
+// Tell returns a direct probe of one member, which carries this daemon's own state. Its
+// acknowledgement is handled like any other.
 func (d *Detector) Tell(name string) Packet {
 	d.sequence++
 	return Packet{d.members[name].PeerAddress, d.message(Ping, d.sequence)}
--- a/member/probe_test.go
+++ b/member/probe_test.go
@@ -7,13 +7,14 @@
 	"github.com/wheatweir/wheatweir/member"
 )
 
-// TestLossIsNoticedSoon has one daemon go off, in fleets that started a moment ago, and looks when the first of
-// the others suspects it. All others probe one member in an interval; drawn by chance, those leave out one in e
-// in each interval, and one that came up since their rounds began for as long as a round takes: of 100 fleets
-// of 60 daemons the slowest took 7.5 s, of 12 fleets of 295 the slowest 14.7 s.
+// TestLossIsNoticedSoon stops one daemon of a fleet that started a moment ago, and measures when
+// the first of the others suspects it. It guards against purely random probes. In each interval
+// those miss one member in e, and they miss a member that came up after their rounds began for as
+// long as a round takes. With those, of 100 fleets of 60 daemons the slowest took 7.5 s, and of 12
+// fleets of 295 the slowest 14.7 s.
 func TestLossIsNoticedSoon(t *testing.T) {
-	// allowed is two intervals until the member before it in the order of names probes it, and one until
-	// the probe counts as unanswered.
+	// maxDetection is two intervals until the predecessor in the order of names probes the daemon,
+	// and one until the probe counts as unacknowledged.
 	maxDetection := 3 * member.DefaultSettings().ProbeInterval
 	for _, size := range []int{9, 60} {
 		for seed := range uint64(30) {
@@ -26,7 +27,7 @@
 				g.run(step)
 			}
 			if took := g.now.Sub(begun); took > maxDetection+2*step {
-				t.Errorf("%d daemons, seed %d: noticed after %v, %v allowed", size, seed, took, maxDetection)
+				t.Errorf("%d daemons, seed %d: loss detected after %v, want within %v", size, seed, took, maxDetection)
 			}
 		}
 	}
--- a/member/rank.go
+++ b/member/rank.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Ranked returns members in the order of Before for a duty.
+// Ranked returns the members, sorted by Before for a duty.
 func Ranked(members []Member, duty string) []Member {
 	type ranked struct {
 		index int
@@ -29,7 +29,7 @@
 	return sorted
 }
 
-// Rank returns how many members come before one in the order of Before for a duty.
+// Rank returns how many members precede self in the order of Before for a duty.
 func Rank(self *Member, members []Member, duty string) int {
 	own, rank := dutyHash(self, duty), 0
 	for i := range members {
--- a/member/updatequeue.go
+++ b/member/updatequeue.go
@@ -2,14 +2,15 @@
 
 import "math/bits"
 
-// retransmitFactor times log2 of the group size is how often one piece of news
-// is sent before it is dropped. The SWIM paper uses a small constant; 3 lets
-// news reach all of a group with high probability.
+// retransmitFactor times log2 of the group size is how often one update is sent before it is
+// dropped. The SWIM paper uses a small constant; with 3, an update reaches the whole group with
+// high probability.
 const retransmitFactor = 3
 
-// newsQueue hands out urgent news first, and of news of the same urgency what was not
-// sent yet before what was. Each step takes the same time however much waits: after a
-// common start every member of a large group is news.
+// updateQueue holds the updates to piggyback on messages. Urgent updates go first, and at the same
+// urgency those that were not sent yet go before those that were. The cost of each operation does
+// not depend on the queue's length: when a whole large group starts at once, every member is an
+// update.
 type updateQueue[T any] struct {
 	byName map[string]*queuedUpdate[T]
 	urgent updateLane[T]
@@ -21,16 +22,16 @@
 	value  T
 	urgent bool
 	sent   int
-	// replaced items stay in their queue until they come up.
+	// replaced items stay in their queue until they are popped.
 	replaced bool
 }
 
-// newsLane holds the news of one urgency.
+// updateLane holds the updates of one urgency.
 type updateLane[T any] struct {
 	fresh, repeated fifo[*queuedUpdate[T]]
 }
 
-// takeFrom moves items of a queue to those taken until there are so many, without those that were replaced.
+// takeFrom moves items of a queue to taken until that holds count items, and skips replaced ones.
 func takeFrom[T any](queue *fifo[*queuedUpdate[T]], taken []*queuedUpdate[T], count int) []*queuedUpdate[T] {
 	for len(taken) < count {
 		item, found := queue.pop()
@@ -44,7 +45,7 @@
 	return taken
 }
 
-// add puts news about a name in the queue and replaces older news about it.
+// add queues an update about a name and replaces an older one about it.
 func (q *updateQueue[T]) add(name string, value T, urgent bool) {
 	if q.byName == nil {
 		q.byName = map[string]*queuedUpdate[T]{}
@@ -64,13 +65,13 @@
 	return &q.normal
 }
 
-// unsent reports whether there is urgent news that was sent fewer times than a limit.
+// urgentPending reports whether an urgent update was sent fewer than limit times.
 func (q *updateQueue[T]) urgentPending(limit int) bool {
 	due := func(item *queuedUpdate[T]) bool { return !item.replaced && item.sent < limit }
 	return q.urgent.fresh.contains(due) || q.urgent.repeated.contains(due)
 }
 
-// take returns up to count pieces of news and drops those sent often enough.
+// take returns up to count updates and drops those that were sent often enough.
 func (q *updateQueue[T]) take(count, groupSize int) []T {
 	if len(q.byName) == 0 {
 		return nil
@@ -93,7 +94,7 @@
 	return values
 }
 
-// dropUsual drops the news that is not urgent.
+// dropNormal drops the updates that are not urgent.
 func (q *updateQueue[T]) dropNormal() {
 	for name, item := range q.byName {
 		if !item.urgent {
@@ -103,7 +104,6 @@
 	q.normal = updateLane[T]{}
 }
 
-// fifo is a queue.
 type fifo[T any] struct {
 	items []T
 	first int
@@ -120,7 +120,8 @@
 	return false
 }
 
-// pop removes the oldest item. The items behind it move up once they are fewer than those that were removed.
+// pop removes the oldest item. The remaining items are copied to a new slice once they are no more
+// than those removed.
 func (f *fifo[T]) pop() (oldest T, found bool) {
 	if f.first == len(f.items) {
 		return oldest, false
--- a/member/view.go
+++ b/member/view.go
@@ -21,7 +21,7 @@
 	return d.live
 }
 
-// LiveCount returns how many names Live returns.
+// LiveCount returns the number of names that Live returns.
 func (d *Detector) LiveCount() int { return len(d.members) + 1 - d.dead }
 
 // LiveMembers returns this daemon and all members that are not dead, in no particular order.
@@ -35,7 +35,7 @@
 	return live
 }
 
-// Lookup returns what is known of a member, this daemon included.
+// Lookup returns the entry of a member, this daemon included.
 func (d *Detector) Lookup(name string) (Member, bool) {
 	if name == d.self.Name {
 		return d.self, true
@@ -58,7 +58,7 @@
 	return all
 }
 
-// BackEnd returns the newest news about a back end.
+// BackEnd returns the newest known state of a back end.
 func (d *Detector) BackEnd(name string) (BackEnd, bool) {
 	update, found := d.backEnds[name]
 	return update, found
--- a/peer/acknowledge.go
+++ b/peer/acknowledge.go
@@ -6,29 +6,32 @@
 	"time"
 )
 
-// A connection may fall silent for good, without a reset, while new ones work. The kernel does not always tell: what stands
-// between two daemons may go on acknowledging bytes. So the listener says how many frames have arrived, and the dialer gives up a
-// connection on which frames stay unacknowledged for too long.
+// A connection may stop delivering for good, without a reset, while new ones work. The kernel does
+// not always detect this: a middlebox between two daemons may go on acknowledging bytes. So the
+// listener acknowledges how many frames have arrived, and the dialer closes a connection on which
+// frames stay unacknowledged for too long.
 const (
-	// acknowledgeAfter is how long after a frame the listener acknowledges it, with all that came meanwhile.
+	// acknowledgeDelay is how long after a frame the listener acknowledges it, together with all
+	// that arrived meanwhile.
 	acknowledgeDelay = 300 * time.Millisecond
-	// silenceLimit is how long a frame may stay unacknowledged: a daemon or a path may rest for a second.
+	// acknowledgeTimeout is how long a frame may stay unacknowledged. It allows for a daemon or a
+	// path that stalls for a second.
 	acknowledgeTimeout = acknowledgeDelay + 1300*time.Millisecond
 	// acknowledgementBytes is the size of an acknowledgement's body: the number of frames so far.
 	acknowledgementBytes = 4
 )
 
-// acknowledger tells the dialer of a session how many frames have arrived.
+// acknowledger sends the dialer of a session the number of frames that have arrived.
 type acknowledger struct {
 	session  *session
 	mutex    sync.Mutex
 	received uint32
-	// due will send the next acknowledgement; nil if none is due.
+	// pendingTimer will send the next acknowledgement; nil if none is scheduled.
 	pendingTimer *time.Timer
 	ended        bool
 }
 
-// arrived notes that a frame has arrived.
+// recordFrame counts a frame that has arrived and schedules its acknowledgement.
 func (a *acknowledger) recordFrame() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -38,7 +41,8 @@
 	}
 }
 
-// send sends an acknowledgement. It holds no frame up: the dialer reads at once, or has ended.
+// send sends an acknowledgement. It does not delay incoming frames: the dialer reads
+// acknowledgements at once, or has ended.
 func (a *acknowledger) send() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -53,7 +57,7 @@
 	}
 }
 
-// end ends the acknowledgements of a session that has ended.
+// stop stops the acknowledgements of a session that has ended.
 func (a *acknowledger) stop() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -63,16 +67,17 @@
 	}
 }
 
-// progress is what a dialer knows of the frames that it has sent on one session.
+// progress tracks the frames that a dialer has sent on one session.
 type progress struct {
 	mutex sync.Mutex
 	sent  uint32
-	// waitingSince is since when there are unacknowledged frames; zero if there are none.
+	// unacknowledgedSince is the time since when there are unacknowledged frames; zero if there are
+	// none.
 	unacknowledgedSince time.Time
 	ended               bool
 }
 
-// sending notes that a frame is about to be sent.
+// recordSend counts a frame that is about to be sent.
 func (p *progress) recordSend(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -82,7 +87,7 @@
 	}
 }
 
-// acknowledged takes in how many frames have arrived.
+// recordAcknowledgement records how many frames have arrived.
 func (p *progress) recordAcknowledgement(now time.Time, received uint32) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -92,14 +97,14 @@
 	}
 }
 
-// end notes that the other side has ended the session.
+// recordEnd records that the other side has ended the session.
 func (p *progress) recordEnd() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.ended = true
 }
 
-// state returns whether the session has ended, and for how long frames have stayed unacknowledged.
+// state returns whether the session has ended, and for how long frames have been unacknowledged.
 func (p *progress) state(now time.Time) (ended bool, unacknowledgedFor time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -109,7 +114,7 @@
 	return p.ended, now.Sub(p.unacknowledgedSince)
 }
 
-// readAcknowledgements reads what the listener of a session acknowledges, until the session ends.
+// readAcknowledgements reads the acknowledgements of a session's listener until the session ends.
 func readAcknowledgements(s *session, p *progress) {
 	defer p.recordEnd()
 	for {
--- a/peer/acknowledge_test.go
+++ b/peer/acknowledge_test.go
@@ -10,8 +10,8 @@
 	"github.com/wheatweir/wheatweir/control"
 )
 
-// severable is a path whose open connections can fall silent, while new ones work. Its ends are acknowledged by the
-// kernel all the time, as they are by whatever stands between two daemons.
+// faultyProxy is a TCP proxy whose open connections can be made silent, while new ones work. The
+// kernel acknowledges all bytes at both ends, as a middlebox between two daemons may do.
 type faultyProxy struct {
 	listener    net.Listener
 	target      string
@@ -20,7 +20,8 @@
 	accepted    atomic.Int64
 }
 
-// severedPath is one connection through the path. What is read while a direction is silent is dropped, or held up.
+// proxiedConnection is one connection through the proxy. Bytes that are read while a direction is
+// silent are dropped; bytes that are read while it is stalled are delayed.
 type proxiedConnection struct {
 	ends              [2]net.Conn
 	forward, backward atomic.Bool
@@ -33,30 +34,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &faultyProxy{listener: listener, target: target}
-	go s.accept()
-	t.Cleanup(s.close)
-	return s
+	p := &faultyProxy{listener: listener, target: target}
+	go p.accept()
+	t.Cleanup(p.close)
+	return p
 }
 
-func (s *faultyProxy) accept() {
+func (p *faultyProxy) accept() {
 	for {
-		near, err := s.listener.Accept()
+		near, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", s.target)
+		far, err := net.Dial("tcp", p.target)
 		if err != nil {
 			_ = near.Close()
 			continue
 		}
-		proxy := &proxiedConnection{ends: [2]net.Conn{near, far}}
-		s.mutex.Lock()
-		s.connections = append(s.connections, proxy)
-		s.mutex.Unlock()
-		s.accepted.Add(1)
-		go proxy.copyBytes(near, far, &proxy.forward)
-		go proxy.copyBytes(far, near, &proxy.backward)
+		connection := &proxiedConnection{ends: [2]net.Conn{near, far}}
+		p.mutex.Lock()
+		p.connections = append(p.connections, connection)
+		p.mutex.Unlock()
+		p.accepted.Add(1)
+		go connection.copyBytes(near, far, &connection.forward)
+		go connection.copyBytes(far, near, &connection.backward)
 	}
 }
 
@@ -79,40 +80,41 @@
 	}
 }
 
-// silence makes the connections of now silent in one or both directions, for good.
-func (s *faultyProxy) silence(forward, backward bool) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	for _, proxy := range s.connections {
-		proxy.forward.Store(forward)
-		proxy.backward.Store(backward)
+// silence makes the present connections silent in one or both directions, for good.
+func (p *faultyProxy) silence(forward, backward bool) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	for _, connection := range p.connections {
+		connection.forward.Store(forward)
+		connection.backward.Store(backward)
 	}
 }
 
-// hold holds up what the connections carry, or lets it go on.
-func (s *faultyProxy) stall(stalled bool) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	for _, proxy := range s.connections {
-		proxy.stalled.Store(stalled)
+// stall delays the bytes on the connections, or lets them continue.
+func (p *faultyProxy) stall(stalled bool) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	for _, connection := range p.connections {
+		connection.stalled.Store(stalled)
 	}
 }
 
-func (s *faultyProxy) close() {
-	_ = s.listener.Close()
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	for _, proxy := range s.connections {
-		_ = proxy.ends[0].Close()
-		_ = proxy.ends[1].Close()
+func (p *faultyProxy) close() {
+	_ = p.listener.Close()
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	for _, connection := range p.connections {
+		_ = connection.ends[0].Close()
+		_ = connection.ends[1].Close()
 	}
 }
 
-// silenceBound is how soon messages must arrive again after their connection has fallen silent: the rules count it as a reset of
-// the connections, after which a daemon has 3 s.
+// recoveryTimeout is how soon messages must arrive again after their connection has become silent.
+// It counts as a reset of the connections, after which a daemon has 3 s.
 const recoveryTimeout = 2 * time.Second
 
-// tellThrough sends numbered messages through a path every 20 ms until the test ends, and returns when the last one arrived.
+// sendThrough sends messages through a proxy, one per interval, until the test ends. lastAt is the
+// time at which the last one arrived, in Unix nanoseconds.
 func sendThrough(t *testing.T, interval time.Duration) (proxy *faultyProxy, lastAt *atomic.Int64) {
 	t.Helper()
 	lastAt = &atomic.Int64{}
@@ -141,10 +143,10 @@
 	return proxy, lastAt
 }
 
-// TestSilentConnectionIsGivenUp guards against a connection between daemons that has fallen silent for good and is written to
-// for as long as the socket takes bytes, while new connections work.
+// TestSilentConnectionIsGivenUp guards against a connection between daemons that no longer delivers
+// but is written to for as long as the socket takes bytes, while new connections work.
 func TestSilentConnectionIsGivenUp(t *testing.T) {
-	for name, interval := range map[string]time.Duration{"in use": 20 * time.Millisecond, "seldom used": 300 * time.Millisecond} {
+	for name, interval := range map[string]time.Duration{"in use": 20 * time.Millisecond, "rarely used": 300 * time.Millisecond} {
 		for direction, silenced := range map[string][2]bool{"both ways": {true, true}, "forward": {true, false}} {
 			t.Run(name+", "+direction, func(t *testing.T) {
 				t.Parallel()
@@ -154,15 +156,15 @@
 				silencedAt := time.Now()
 				time.Sleep(recoveryTimeout + interval)
 				if last := time.Unix(0, lastAt.Load()); last.Before(silencedAt.Add(recoveryTimeout / 2)) {
-					t.Errorf("no message %v after the connection fell silent", time.Since(silencedAt))
+					t.Errorf("no message %v after the connection became silent", time.Since(silencedAt))
 				}
 			})
 		}
 	}
 }
 
-// TestSilentSecondEndsNoConnection guards against connections that are given up because the other daemon, or the path to it,
-// rests for a second.
+// TestSilentSecondEndsNoConnection guards against connections that are closed because the other
+// daemon, or the path to it, stalls for a second.
 func TestSilentSecondEndsNoConnection(t *testing.T) {
 	proxy, _ := sendThrough(t, 20*time.Millisecond)
 	for range 2 {
@@ -173,15 +175,16 @@
 	}
 	time.Sleep(400 * time.Millisecond)
 	if count := proxy.accepted.Load(); count != 1 {
-		t.Errorf("%d connections", count)
+		t.Errorf("%d connections were opened, want 1", count)
 	}
 }
 
-// TestConnectionAtRestIsKept guards against connections that are given up although nothing was sent.
+// TestConnectionAtRestIsKept guards against idle connections that are closed as unacknowledged
+// although nothing was sent.
 func TestConnectionAtRestIsKept(t *testing.T) {
 	proxy, _ := sendThrough(t, 2500*time.Millisecond)
 	time.Sleep(6 * time.Second)
 	if count := proxy.accepted.Load(); count != 1 {
-		t.Errorf("%d connections", count)
+		t.Errorf("%d connections were opened, want 1", count)
 	}
 }
--- a/peer/compress.go
+++ b/peer/compress.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// compressFrom is the size of a body from which on it is compressed. Lists of instances, of members and
-	// of routes repeat the same words in each entry.
+	// minCompressBytes is the minimum size of a body that is compressed. Lists of instances, of
+	// members and of routes repeat the same strings in each entry.
 	minCompressBytes = 4 << 10
-	// compressedMark begins a compressed body. No msgpack value begins with it.
+	// compressedPrefix is the first byte of a compressed body. No msgpack value begins with it.
 	compressedPrefix = 0xc1
 )
 
@@ -20,7 +20,7 @@
 	return writer
 }}
 
-// compress returns a body as it is sent.
+// compress returns a body in the form in which it is sent.
 func compress(body []byte) []byte {
 	if len(body) < minCompressBytes {
 		return body
@@ -42,7 +42,7 @@
 	return compressed.Bytes()
 }
 
-// decompress returns a body as it was encoded.
+// decompress returns a body as it was before compress.
 func decompress(body []byte) ([]byte, error) {
 	if len(body) == 0 || body[0] != compressedPrefix {
 		return body, nil
@@ -54,7 +54,7 @@
 	case err != nil:
 		return nil, ErrProtocol.Wrap(err)
 	case len(decompressed) > maxFrameBytes:
-		return nil, ErrProtocol.New("body is over %d bytes when it is decompressed", maxFrameBytes)
+		return nil, ErrProtocol.New("decompressed body exceeds %d bytes", maxFrameBytes)
 	}
 	return decompressed, nil
 }
--- a/peer/compress_test.go
+++ b/peer/compress_test.go
@@ -11,7 +11,7 @@
 	"github.com/wheatweir/wheatweir/fleet"
 )
 
-// manyRoutes is a configuration with so many routes, as a message holds it.
+// encodedRoutes returns a configuration with count routes, encoded as in a message.
 func encodedRoutes(tb testing.TB, count int) []byte {
 	tb.Helper()
 	var routes []fleet.Route
@@ -28,25 +28,26 @@
 	return body
 }
 
-// TestLargeBodiesAreCompressed covers both ways, and guards against lists that fill the links of small machines when
-// many daemons lack them at once.
+// TestLargeBodiesAreCompressed covers compression and decompression. It guards against lists that
+// saturate the links of small machines when many daemons request them at once.
 func TestLargeBodiesAreCompressed(t *testing.T) {
 	const minRatio = 6
 	body := encodedRoutes(t, 400)
 	compressed := compress(body)
 	if minRatio*len(compressed) > len(body) {
-		t.Errorf("%d bytes of %d", len(compressed), len(body))
+		t.Errorf("compressed to %d bytes of %d, want at most 1/6", len(compressed), len(body))
 	}
 	if decompressed, err := decompress(compressed); err != nil || !bytes.Equal(decompressed, body) {
-		t.Errorf("%d bytes come back of %d, %v", len(decompressed), len(body), err)
+		t.Errorf("decompressed to %d bytes of %d, error %v", len(decompressed), len(body), err)
 	}
 	small := body[:minCompressBytes-1]
 	if decompressed, err := decompress(compress(small)); err != nil || !bytes.Equal(decompressed, small) {
-		t.Errorf("a small body comes back with %d bytes, %v", len(decompressed), err)
+		t.Errorf("a small body is decompressed to %d bytes, error %v", len(decompressed), err)
 	}
 }
 
-// TestCompressedBodyIsBounded guards against a small frame that takes all memory when it is decompressed.
+// TestCompressedBodyIsBounded guards against a small frame that exhausts the memory when it is
+// decompressed.
 func TestCompressedBodyIsBounded(t *testing.T) {
 	var compressed bytes.Buffer
 	compressed.WriteByte(compressedPrefix)
@@ -57,7 +58,7 @@
 	_, _ = writer.Write(make([]byte, 2*maxFrameBytes))
 	_ = writer.Close()
 	if decompressed, err := decompress(compressed.Bytes()); !ErrProtocol.Has(err) {
-		t.Errorf("%d bytes from %d, error %v", len(decompressed), compressed.Len(), err)
+		t.Errorf("decompressed %d bytes from %d, error %v, want ErrProtocol", len(decompressed), compressed.Len(), err)
 	}
 }
 
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,17 +1,16 @@
-// Package peer carries messages between daemons: length-prefixed frames with a
-// msgpack body over TCP.
+// Package peer carries messages between daemons: length-prefixed frames with a msgpack body over
+// TCP.
 //
-// Both sides prove that they know the deployment's key before any message is
-// taken: each sends a random challenge, and every frame then carries a MAC
-// under a key derived from the deployment's key and both challenges, over the
-// frame's number and body. Messages are not encrypted.
+// Both sides prove that they have the deployment's key before any message is accepted: each sends a
+// random challenge, and every frame then carries a MAC under a key derived from the deployment's
+// key and both challenges, over the frame's number and body. Messages are not encrypted.
 //
-// A daemon that cannot reach an address by itself can have another daemon
-// connect to it and carry the bytes: a tunnel. It goes through one daemon only.
+// A daemon that cannot reach an address itself can have another daemon, the relay, connect to it
+// and forward the bytes: a tunnel. A tunnel goes through one relay only.
 //
-// Sending never waits: each peer has a bounded ring, and a message that finds
-// it full is dropped and counted. All messages between daemons are repeated by
-// the protocols above, so a lost one costs time only.
+// Sending never blocks: each peer has a bounded ring, and a message that finds it full is dropped
+// and counted. The protocols above repeat all messages between daemons, so a lost one costs only
+// time.
 package peer
 
 import (
@@ -29,39 +28,40 @@
 	"github.com/wheatweir/wheatweir/ring"
 )
 
-// Classes of errors.
+// Error classes.
 var (
 	// ErrListen is the class of failures to listen.
 	ErrListen = errs.Class("peer: listen")
-	// ErrProtocol is the class of frames that are not valid.
+	// ErrProtocol is the class of handshake failures and invalid frames.
 	ErrProtocol = errs.Class("peer: protocol")
 )
 
 const (
-	// maxFrameBytes bounds one frame. A delta is bounded well under it.
+	// maxFrameBytes bounds one frame. Deltas have a bound well below it.
 	maxFrameBytes = 4 << 20
-	// sendRingSize is how many messages wait for one peer, sendRingBytes how many
-	// bytes: a peer behind a slow link must not take this daemon's memory. A message
-	// that is larger alone still goes.
+	// sendRingMessages is how many messages may be queued for one peer, sendRingBytes how many
+	// bytes, so that a peer behind a slow link does not exhaust this daemon's memory. A message
+	// that exceeds sendRingBytes by itself is still sent.
 	sendRingMessages = 64
 	sendRingBytes    = 1 << 20
 	dialTimeout      = 2 * time.Second
 	// writeTimeout bounds the sending of one frame.
 	writeTimeout = 3 * time.Second
-	// idleTimeout is how long a connection without messages is kept. A daemon tells
-	// the same few others for some seconds, and probes each other one seldom.
+	// idleTimeout is how long a connection without messages is kept. A daemon sends to the same few
+	// others for some seconds, and probes each other one rarely.
 	idleTimeout = 10 * time.Second
-	// firstRedialPause is the pause after a failed attempt to connect, and twice as long after
-	// each further one, up to redialPause. When a whole fleet starts again, most first attempts
-	// come too early by less than that.
+	// minRedialBackoff is the backoff after a failed attempt to connect. It doubles after each
+	// further one, up to maxRedialBackoff. When a whole fleet restarts, most first attempts are too
+	// early by less than minRedialBackoff.
 	minRedialBackoff = 30 * time.Millisecond
 	maxRedialBackoff = 500 * time.Millisecond
-	// maxConnections bounds the connections that are accepted at once.
+	// maxConnections bounds the tracked connections. While it is reached, new ones are not
+	// accepted.
 	maxConnections = 4096
 )
 
-// Handler takes in a message. It must not keep the message's slices shared
-// with others, and must not block for long.
+// Handler processes a received message. It must not share the message's slices with others, and
+// must not block for long.
 type Handler[M any] func(M)
 
 // Transport sends and receives messages of type M for one daemon.
@@ -77,7 +77,8 @@
 	senders map[string]*sender
 	open    map[net.Conn]bool
 	counts  Counts
-	// onSilent is told of connections that are given up; nil if nobody asks.
+	// onSilent is called for each connection that is closed because frames stayed unacknowledged;
+	// nil if unset.
 	onSilent func(address string, unacknowledgedFor time.Duration)
 	tunnels  tunnels
 }
@@ -88,7 +89,7 @@
 	MessagesSent uint64
 	Dropped      uint64
 	Rejected     uint64
-	// Silent counts the connections that were given up because nothing was acknowledged.
+	// Silent counts the connections that were closed because frames stayed unacknowledged.
 	Silent uint64
 }
 
@@ -110,7 +111,7 @@
 // Address returns the address that the transport listens on.
 func (t *Transport[M]) Address() string { return t.listener.Addr().String() }
 
-// Counts returns the totals so far.
+// Counts returns the current totals.
 func (t *Transport[M]) Counts() Counts {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -132,7 +133,7 @@
 // Send queues a message to a peer address.
 func (t *Transport[M]) Send(address string, message M) { t.SendAll([]string{address}, message) }
 
-// SendAll queues a message to several peer addresses. It is encoded once.
+// SendAll queues a message to several peer addresses. The message is encoded once.
 func (t *Transport[M]) SendAll(addresses []string, message M) {
 	body, err := msgpack.Marshal(&message)
 	if err != nil {
@@ -152,18 +153,18 @@
 	t.mutex.Unlock()
 }
 
-// sender is the duty of sending to one peer. It ends after a time without
-// messages, so that addresses of replaced daemons are not kept.
+// sender sends the queued messages to one peer. It ends after idleTimeout without messages, so that
+// addresses of replaced daemons are not kept.
 type sender struct {
 	address string
 	frames  *ring.Ring[[]byte]
-	// waiting is the number of bytes in the ring.
+	// queuedBytes is the number of bytes in the ring.
 	queuedBytes atomic.Int64
-	// failures counts the attempts to connect that failed since the last one that did not.
+	// failures counts the failed attempts to connect since the last successful one.
 	failures int
 }
 
-// offer queues a frame, unless too many wait already.
+// enqueue queues a frame, unless the queue is at one of its bounds.
 func (s *sender) enqueue(body []byte) bool {
 	size := int64(len(body))
 	if before := s.queuedBytes.Add(size) - size; before > 0 && before+size > sendRingBytes || !s.frames.Offer(body) {
@@ -211,14 +212,16 @@
 	}
 }
 
-// outgoing is a session of a sender.
+// outgoingSession is a session of a sender.
 type outgoingSession struct {
 	*session
 	progress progress
 }
 
-// lost reports whether a session must not be used any more: the peer has closed it, and the first write after that would
-// succeed, or it has fallen silent. Acknowledgements that wait to be read prove that it has not.
+// needsReconnect reports whether a session must no longer be used. That is so if the peer has
+// closed it, since the first write after that would still succeed, or if frames have been
+// unacknowledged for acknowledgeTimeout. Acknowledgements in the socket's receive buffer prove that
+// the peer still receives.
 func (t *Transport[M]) needsReconnect(s *sender, current *outgoingSession) bool {
 	ended, unacknowledgedFor := current.progress.state(time.Now())
 	if ended || idle.HasEnded(current.conn) {
@@ -238,15 +241,16 @@
 	return true
 }
 
-// OnSilent sets what is told of connections that are given up because frames stayed unacknowledged for a time.
+// OnSilent sets the function that is called for each connection that is closed because frames
+// stayed unacknowledged for too long.
 func (t *Transport[M]) OnSilent(notify func(address string, unacknowledgedFor time.Duration)) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.onSilent = notify
 }
 
-// sendBody writes body as one frame to the current session and returns the session to use next, or nil. It
-// reconnects if there is no session, or only one that is lost.
+// sendBody writes body as one frame to the current session and returns the session to use next, or
+// nil. It reconnects if there is no session, or if the session must no longer be used.
 func (t *Transport[M]) sendBody(s *sender, current *outgoingSession, body []byte) *outgoingSession {
 	if current != nil && t.needsReconnect(s, current) {
 		t.closeConn(current.conn)
@@ -276,7 +280,7 @@
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(t.ctx, "tcp", s.address)
 	if err == nil {
-		// One that is opened as the transport closes is not tracked.
+		// A connection that is opened while the transport closes is not tracked.
 		t.track(conn)
 		stop := context.AfterFunc(t.ctx, func() { _ = conn.Close() })
 		var opened *session
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -60,7 +60,7 @@
 	}{
 		{"another key", func(t *testing.T, conn net.Conn) {
 			if _, err := openSession(conn, []byte("other"), true); err == nil {
-				t.Error("the session opened")
+				t.Error("the session opened with another key")
 			}
 		}},
 		{"no handshake", func(_ *testing.T, conn net.Conn) { _, _ = conn.Write(make([]byte, 4096)) }},
@@ -81,7 +81,7 @@
 			open(t, conn)
 			_, _ = conn.Write(append([]byte{255, 255, 255, 255}, make([]byte, macBytes)...))
 		}},
-		{"a body that is no message", func(t *testing.T, conn net.Conn) {
+		{"a body that is not a message", func(t *testing.T, conn net.Conn) {
 			if err := open(t, conn).writeFrame([]byte("\xc1")); err != nil {
 				t.Error(err)
 			}
@@ -99,7 +99,7 @@
 			c.runClient(t, conn)
 			rejected(target)
 			if extra := len(messages); extra > 1 {
-				t.Fatalf("%d messages were taken", extra)
+				t.Fatalf("%d messages were accepted, want at most 1", extra)
 			}
 		})
 	}
@@ -127,8 +127,8 @@
 	})
 }
 
-// TestFirstMessageToARestartedDaemonArrives guards against messages that are lost because they are written to
-// a connection that the peer closed when it restarted at the same address.
+// TestFirstMessageToARestartedDaemonArrives guards against messages that are lost because they are
+// written to a connection that the peer closed when it restarted at the same address.
 func TestFirstMessageToARestartedDaemonArrives(t *testing.T) {
 	source := listen(t, "key", func(control.Message) {})
 	address := "127.0.0.1:0"
@@ -152,8 +152,8 @@
 	}
 }
 
-// TestCloseWaitsForNoPeer guards against a daemon that ends seconds late, as it still sends to a daemon that takes
-// connections and says nothing.
+// TestCloseWaitsForNoPeer guards against a daemon that stops seconds late because it is still
+// sending to a daemon that accepts connections and never answers the handshake.
 func TestCloseWaitsForNoPeer(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -172,7 +172,7 @@
 		began := time.Now()
 		source.Close()
 		if took := time.Since(began); took > 500*time.Millisecond {
-			t.Fatalf("the end took %v", took)
+			t.Fatalf("closing the transport took %v", took)
 		}
 	}
 }
--- a/peer/session.go
+++ b/peer/session.go
@@ -18,35 +18,35 @@
 	macBytes       = 16
 	// frameOverhead is what a frame adds to its body.
 	frameOverhead = lengthBytes + macBytes
-	// readBufferBytes holds a few usual messages. Larger ones are read past the buffer; a
-	// daemon of a large fleet has hundreds of connections.
+	// readBufferBytes holds a few typical messages. Larger ones bypass the buffer. It is small
+	// since a daemon of a large fleet has hundreds of connections.
 	readBufferBytes = 512
-	// handshakeTimeout bounds the exchange of challenges.
+	// handshakeTimeout bounds the handshake.
 	handshakeTimeout = 3 * time.Second
 )
 
-// Labels keep the two directions and the two uses of the key apart. Daemons whose sessions have another form, such as those
-// that acknowledge nothing, have other labels.
+// Labels separate the two directions and the two uses of the key. Daemons whose sessions have
+// another format, such as those without acknowledgements, have other labels.
 const (
 	labelDialer   = "wheatweir peer dialer 2"
 	labelListener = "wheatweir peer listener 2"
 	labelTunnel   = "wheatweir tunnel dialer"
-	// labelFrames and labelAcknowledgements keep the keys of the two directions of a session apart.
+	// labelFrames and labelAcknowledgements separate the keys of the two directions of a session.
 	labelFrames           = "wheatweir peer frames"
 	labelAcknowledgements = "wheatweir peer acknowledgements"
 )
 
-// session is one connection after the exchange of challenges. Messages go from the dialer to the listener, and
+// session is one connection after the handshake. Messages go from the dialer to the listener, and
 // acknowledgements back.
 type session struct {
 	conn   net.Conn
 	reader *bufio.Reader
-	// out and in are the MACs of the two directions.
+	// out and in hold the MAC states of the two directions.
 	out, in direction
 	buffer  []byte
 }
 
-// direction is the MAC of the frames of one direction, and the number of the next one.
+// direction is the MAC state of the frames of one direction, with the number of the next frame.
 type direction struct {
 	mac      hash.Hash
 	sequence uint64
@@ -62,8 +62,9 @@
 	return opened, err
 }
 
-// handshake exchanges challenges and proofs. The listener proves itself too, so that a dialer does not talk to a
-// stranger on an address used again. It returns which of the labels the other side has proved.
+// handshake exchanges challenges and proofs. The listener proves its key too, so that a dialer does
+// not talk to a foreign process on a reused address. It returns which of remoteLabels the other
+// side has proved.
 func handshake(conn net.Conn, key []byte, localLabel string, remoteLabels ...string) (*session, string, error) {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, "", ErrProtocol.Wrap(err)
@@ -104,7 +105,7 @@
 		}
 		return opened, label, nil
 	}
-	return nil, "", ErrProtocol.New("the other side does not know the deployment's key")
+	return nil, "", ErrProtocol.New("handshake failed: the other side does not have the deployment's key")
 }
 
 func proof(key []byte, label string, dialerChallenge, listenerChallenge []byte) []byte {
@@ -115,7 +116,7 @@
 	return mac.Sum(nil)
 }
 
-// sum returns the MAC of the next frame and counts it.
+// nextMAC returns the MAC of the next frame and increments the frame number.
 func (d *direction) nextMAC(body []byte) []byte {
 	d.mac.Reset()
 	var number [8]byte
@@ -129,7 +130,7 @@
 // writeFrame sends one frame: length of the body, MAC, body.
 func (s *session) writeFrame(body []byte) error {
 	if len(body) > maxFrameBytes {
-		return ErrProtocol.New("frame of %d bytes is over %d", len(body), maxFrameBytes)
+		return ErrProtocol.New("frame of %d bytes exceeds the limit of %d bytes", len(body), maxFrameBytes)
 	}
 	s.buffer = binary.BigEndian.AppendUint32(s.buffer[:0], uint32(len(body)))
 	s.buffer = append(s.buffer, s.out.nextMAC(body)...)
@@ -141,12 +142,13 @@
 	return err
 }
 
-// readFrame returns the body of the next frame. The slice is new.
+// readFrame returns the body of the next frame in a new slice.
 func (s *session) readFrame() ([]byte, error) {
 	return s.readFrameUntil(time.Now().Add(2 * idleTimeout))
 }
 
-// readFrameUntil returns the body of the next frame if it comes before a moment; the zero time stands for no bound.
+// readFrameUntil returns the body of the next frame if it arrives before the deadline; the zero
+// time means no deadline.
 func (s *session) readFrameUntil(deadline time.Time) ([]byte, error) {
 	if err := s.conn.SetReadDeadline(deadline); err != nil {
 		return nil, err
@@ -157,14 +159,14 @@
 	}
 	length := binary.BigEndian.Uint32(header[:lengthBytes])
 	if length > maxFrameBytes {
-		return nil, ErrProtocol.New("frame of %d bytes is over %d", length, maxFrameBytes)
+		return nil, ErrProtocol.New("frame of %d bytes exceeds the limit of %d bytes", length, maxFrameBytes)
 	}
 	body := make([]byte, length)
 	if _, err := io.ReadFull(s.reader, body); err != nil {
 		return nil, err
 	}
 	if !hmac.Equal(header[lengthBytes:], s.in.nextMAC(body)) {
-		return nil, ErrProtocol.New("frame %d has a wrong MAC", s.in.sequence-1)
+		return nil, ErrProtocol.New("frame %d has an invalid MAC", s.in.sequence-1)
 	}
 	return body, nil
 }
--- a/peer/tunnel.go
+++ b/peer/tunnel.go
@@ -15,19 +15,19 @@
 	"github.com/zeebo/errs"
 )
 
-// Classes of errors of tunnels.
+// Error classes of tunnels.
 var (
-	// ErrRelay means that the other daemon could not be reached, or did not answer.
+	// ErrRelay means that the relay could not be reached, or did not answer.
 	ErrRelay = errs.Class("peer: relay")
-	// ErrRelayCut means that the other daemon reaches no such address itself.
+	// ErrRelayCut means that the relay itself cannot reach addresses like the target.
 	ErrRelayCut = errs.Class("peer: relay is cut off")
-	// ErrRelayDeclined means that the other daemon carries no more tunnels, or not to this address.
+	// ErrRelayDeclined means that the relay accepts no more tunnels, or none to this address.
 	ErrRelayDeclined = errs.Class("peer: relay declined")
-	// ErrTarget means that the other daemon could not connect to the address.
+	// ErrTarget means that the relay could not connect to the target.
 	ErrTarget = errs.Class("peer: target")
 )
 
-// tunnelStatus is the answer to the request for a tunnel.
+// tunnelStatus is the relay's answer to the request for a tunnel.
 type tunnelStatus byte
 
 const (
@@ -39,31 +39,34 @@
 )
 
 const (
-	// maxTunnels bounds the tunnels that are carried at once.
+	// maxTunnels bounds the tunnels that are relayed at once.
 	maxTunnels = 512
-	// maxPieceBytes bounds a piece of the bytes on their way back.
+	// maxChunkBytes bounds a chunk of the bytes from the target.
 	maxChunkBytes = 8 << 10
-	// pieceHeadBytes is the length before each piece.
+	// chunkHeaderBytes is the size of the length before each chunk.
 	chunkHeaderBytes = 2
-	// lastPiece is the length that stands for the end: the target has closed its side. Without it, a connection that
-	// ends with its carrier would look like an answer that ended well.
+	// endMarker is the length that marks the end: the target has closed its side. Without it, a
+	// connection that ends because its relay ends would look like a complete answer.
 	endMarker = 0
-	// retiringPiece is the length that stands for a carrier that is about to stop.
+	// retiringMarker is the length that marks a relay that is about to stop.
 	retiringMarker = 0xffff
-	// targetTimeout bounds the connecting to a target, and tunnelTimeout the whole opening of a tunnel.
+	// targetConnectTimeout bounds the connecting to a target, and tunnelOpenTimeout the whole
+	// opening of a tunnel.
 	targetConnectTimeout = 250 * time.Millisecond
 	tunnelOpenTimeout    = 2 * time.Second
 )
 
-// Carry tells a transport how to connect to targets for other daemons. Connect returns an error of the class
-// ErrRelayCut or ErrRelayDeclined if this daemon cannot or may not do so. Without it, tunnels are declined.
+// Carry sets how the transport connects to targets for other daemons. The function connect returns
+// an error of the class ErrRelayCut or ErrRelayDeclined if this daemon cannot or may not do so.
+// Without Carry, tunnels are declined.
 func (t *Transport[M]) Carry(connect func(ctx context.Context, target string) (net.Conn, error)) {
 	t.tunnels.mutex.Lock()
 	defer t.tunnels.mutex.Unlock()
 	t.tunnels.connect = connect
 }
 
-// Retire carries no more tunnels, and has the other daemons begin nothing new on those that are open.
+// Retire declines new tunnels, and notifies the other daemons so that they begin nothing new on the
+// open ones.
 func (t *Transport[M]) Retire() {
 	t.tunnels.mutex.Lock()
 	t.tunnels.retiring = true
@@ -77,14 +80,15 @@
 	}
 }
 
-// Tunnels returns how many tunnels are carried now.
+// Tunnels returns how many tunnels are open at this relay.
 func (t *Transport[M]) Tunnels() int {
 	t.tunnels.mutex.Lock()
 	defer t.tunnels.mutex.Unlock()
 	return len(t.tunnels.open)
 }
 
-// Tunnel has the daemon at a peer address connect to a target, and returns the connection through it.
+// Tunnel requests the daemon at the peer address relay to connect to a target, and returns the
+// connection through it.
 func (t *Transport[M]) Tunnel(ctx context.Context, relay, target string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, tunnelOpenTimeout)
 	defer cancel()
@@ -105,7 +109,7 @@
 	return tunnel, nil
 }
 
-// openTunnel asks for a tunnel on a new connection.
+// openTunnel requests a tunnel on a new connection.
 func openTunnel(conn net.Conn, key []byte, target string) (*tunnelConn, error) {
 	opened, _, err := handshake(conn, key, labelTunnel, labelListener)
 	if err != nil {
@@ -114,7 +118,8 @@
 	if err := opened.writeFrame([]byte(target)); err != nil {
 		return nil, ErrRelay.Wrap(err)
 	}
-	// Past the session's buffer: whoever looks at the socket must see all that is unread.
+	// The status is read from the connection, not through the session's buffer: code that peeks at
+	// the socket must see all unread bytes.
 	var status [1]byte
 	if _, err := io.ReadFull(conn, status[:]); err != nil {
 		return nil, ErrRelay.Wrap(err)
@@ -136,21 +141,21 @@
 	}
 }
 
-// tunnelConn is the near end of a tunnel. It has no buffer of its own, so that whoever looks at the socket sees
-// whether something has come.
+// tunnelConn is the near end of a tunnel. It has no buffer of its own, so that code that peeks at
+// the socket sees whether something has arrived.
 type tunnelConn struct {
 	net.Conn
-	// left is what is still to be read of the current piece.
+	// remaining is the number of bytes of the current chunk that are still to be read.
 	remaining int
 	ended     bool
-	// retiring says that the carrier is about to stop.
+	// retiring means that the relay is about to stop.
 	retiring atomic.Bool
 }
 
-// Retiring reports whether nothing new should begin on the connection.
+// Retiring reports whether no new request should begin on the connection.
 func (c *tunnelConn) Retiring() bool { return c.retiring.Load() }
 
-// SyscallConn gives access to the socket to the carrier.
+// SyscallConn gives access to the socket that leads to the relay.
 func (c *tunnelConn) SyscallConn() (syscall.RawConn, error) {
 	socket, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -175,7 +180,7 @@
 		case length == retiringMarker:
 			c.retiring.Store(true)
 		case length > maxChunkBytes:
-			return 0, ErrProtocol.New("piece of %d bytes", length)
+			return 0, ErrProtocol.New("invalid tunnel chunk length of %d bytes", length)
 		default:
 			c.remaining = length
 		}
@@ -188,7 +193,8 @@
 	return 0, asUnexpectedEOF(err)
 }
 
-// unexpected returns an error that does not look like a proper end.
+// asUnexpectedEOF turns io.EOF into io.ErrUnexpectedEOF, so that it does not look like a proper
+// end.
 func asUnexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -196,7 +202,7 @@
 	return err
 }
 
-// tunnels are those that a transport carries.
+// tunnels are the tunnels that a transport relays.
 type tunnels struct {
 	mutex    sync.Mutex
 	connect  func(ctx context.Context, target string) (net.Conn, error)
@@ -204,7 +210,7 @@
 	retiring bool
 }
 
-// add counts a tunnel, unless no more are carried.
+// add registers a tunnel, unless new ones are declined.
 func (t *tunnels) add(tunnel *relayedTunnel) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -227,15 +233,15 @@
 	delete(t.open, tunnel)
 }
 
-// carried is a tunnel at its carrier.
+// relayedTunnel is a tunnel at its relay.
 type relayedTunnel struct {
 	session *session
 	target  net.Conn
-	// writing keeps pieces whole.
+	// writeMutex keeps the writes of chunks from interleaving.
 	writeMutex sync.Mutex
 }
 
-// carry carries one tunnel until either side ends.
+// serveTunnel relays one tunnel until either side ends.
 func (t *Transport[M]) serveTunnel(session *session) {
 	body, err := session.readFrame()
 	if err != nil {
@@ -265,7 +271,7 @@
 	tunnel.copyFromTarget()
 }
 
-// connectTarget connects a tunnel to its target and tells the near end what came of it.
+// connectTarget connects a tunnel to its target and sends the resulting status to the near end.
 func (t *Transport[M]) connectTarget(tunnel *relayedTunnel, target string) error {
 	ctx, cancel := context.WithTimeout(t.ctx, targetConnectTimeout)
 	defer cancel()
@@ -284,7 +290,7 @@
 	return nil
 }
 
-// keepAlive ends tunnels whose other end has gone without a word.
+// keepAliveConfig ends tunnels whose other end has disappeared without closing the connection.
 var keepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 3}
 
 func enableKeepAlive(conn net.Conn) {
@@ -306,14 +312,15 @@
 	}
 }
 
-// forward carries the bytes to the target. When the near end closes, so does the connection to the target.
+// copyToTarget forwards the bytes to the target. When the near end closes, so does the connection
+// to the target.
 func (c *relayedTunnel) copyToTarget() {
 	defer c.target.Close()
 	buffer := make([]byte, maxChunkBytes)
 	for {
 		count, err := c.session.reader.Read(buffer)
 		if count > 0 {
-			if _, failed := c.target.Write(buffer[:count]); failed != nil {
+			if _, writeErr := c.target.Write(buffer[:count]); writeErr != nil {
 				return
 			}
 		}
@@ -323,9 +330,9 @@
 	}
 }
 
-// back carries the bytes from the target, and its end.
+// copyFromTarget forwards the bytes from the target, and its end.
 func (c *relayedTunnel) copyFromTarget() {
-	// A piece is written together with its head.
+	// A chunk is written together with its header.
 	buffer := make([]byte, chunkHeaderBytes+maxChunkBytes)
 	for {
 		count, err := c.target.Read(buffer[chunkHeaderBytes:])
@@ -341,10 +348,11 @@
 	}
 }
 
-// pieceTimeout bounds the writing of a piece: a near end whose client is slow reads slowly.
+// chunkWriteTimeout bounds the writing of a chunk. It is long because a near end whose client is
+// slow reads slowly.
 const chunkWriteTimeout = 30 * time.Second
 
-// write sends one piece whose bytes stand behind room for its head.
+// writeChunk sends one chunk. The first chunkHeaderBytes of chunk are reserved for its header.
 func (c *relayedTunnel) writeChunk(chunk []byte, length uint16) error {
 	binary.BigEndian.PutUint16(chunk, length)
 	c.writeMutex.Lock()
@@ -356,7 +364,7 @@
 	return err
 }
 
-// retire tells the near end that this carrier is about to stop.
+// sendRetiring notifies the near end that this relay is about to stop.
 func (c *relayedTunnel) sendRetiring() {
 	c.writeMutex.Lock()
 	connected := c.target != nil
--- a/peer/tunnel_test.go
+++ b/peer/tunnel_test.go
@@ -13,7 +13,7 @@
 	"github.com/wheatweir/wheatweir/internal/idle"
 )
 
-// target is an address that tunnels lead to. Its connections are handed to serve.
+// target listens on an address to which tunnels lead and passes its connections to serve.
 func target(t *testing.T, serve func(conn *net.TCPConn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,7 +33,7 @@
 	return listener.Addr().String()
 }
 
-// carrier is a transport that carries tunnels to anywhere.
+// relayTransport is a transport that relays tunnels to any address.
 func relayTransport(t *testing.T) *Transport[control.Message] {
 	t.Helper()
 	transport := listen(t, "key", func(control.Message) {})
@@ -44,11 +44,11 @@
 	return transport
 }
 
-// tunnelTo opens a tunnel through a carrier.
-func tunnelTo(t *testing.T, relayTransport *Transport[control.Message], target string) net.Conn {
+// tunnelTo opens a tunnel through a relay.
+func tunnelTo(t *testing.T, relay *Transport[control.Message], target string) net.Conn {
 	t.Helper()
 	near := listen(t, "key", func(control.Message) {})
-	conn, err := near.Tunnel(context.Background(), relayTransport.Address(), target)
+	conn, err := near.Tunnel(context.Background(), relay.Address(), target)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,8 @@
 	return conn
 }
 
-// TestTunnelCarriesBytesAndTheEnd covers both directions of a tunnel, and an end that the target has chosen.
+// TestTunnelCarriesBytesAndTheEnd covers both directions of a tunnel, and an end that the target
+// initiates.
 func TestTunnelCarriesBytesAndTheEnd(t *testing.T) {
 	const size = 3*maxChunkBytes + 17
 	address := target(t, func(conn *net.TCPConn) {
@@ -79,12 +80,12 @@
 	}
 	got, err := io.ReadAll(conn)
 	if err != nil || string(got) != string(sent) {
-		t.Errorf("%d bytes of %d came back, %v", len(got), len(sent), err)
+		t.Errorf("received %d of %d bytes, error %v", len(got), len(sent), err)
 	}
 }
 
-// TestTunnelDoesNotEndWellByItself guards against answers without a length that look whole although the target has
-// reset its connection, or the carrier has ended.
+// TestTunnelDoesNotEndWellByItself guards against answers without a length that look complete
+// although the target has reset its connection, or the relay has ended.
 func TestTunnelDoesNotEndWellByItself(t *testing.T) {
 	reset := func(conn *net.TCPConn) {
 		_, _ = conn.Write([]byte("a part"))
@@ -95,10 +96,10 @@
 	t.Run("target resets", func(t *testing.T) {
 		conn := tunnelTo(t, relayTransport(t), target(t, reset))
 		if got, err := io.ReadAll(conn); err == nil {
-			t.Errorf("%q ends well", got)
+			t.Errorf("%q ends with io.EOF", got)
 		}
 	})
-	t.Run("carrier ends", func(t *testing.T) {
+	t.Run("relay ends", func(t *testing.T) {
 		relay := relayTransport(t)
 		conn := tunnelTo(t, relay, target(t, func(conn *net.TCPConn) { _, _ = conn.Write([]byte("a part")) }))
 		if _, err := io.ReadFull(conn, make([]byte, 6)); err != nil {
@@ -106,12 +107,13 @@
 		}
 		relay.Close()
 		if got, err := io.ReadAll(conn); err == nil {
-			t.Errorf("%q ends well", got)
+			t.Errorf("%q ends with io.EOF", got)
 		}
 	})
 }
 
-// TestClosingATunnelClosesItsTarget guards against requests whose caller has left and that a server works on.
+// TestClosingATunnelClosesItsTarget guards against requests that a server continues to process
+// after their caller has left.
 func TestClosingATunnelClosesItsTarget(t *testing.T) {
 	ended := make(chan error, 1)
 	address := target(t, func(conn *net.TCPConn) {
@@ -126,7 +128,7 @@
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second):
-		t.Error("the target's connection stays open")
+		t.Error("the connection to the target stays open")
 	}
 }
 
@@ -138,7 +140,7 @@
 		connect func(ctx context.Context, target string) (net.Conn, error)
 		want    func(err error) bool
 	}{
-		{"carries none", nil, ErrRelayDeclined.Has},
+		{"relays no tunnels", nil, ErrRelayDeclined.Has},
 		{"cut off", func(context.Context, string) (net.Conn, error) { return nil, ErrRelayCut.New("") }, ErrRelayCut.Has},
 		{"declined", func(context.Context, string) (net.Conn, error) { return nil, ErrRelayDeclined.New("") }, ErrRelayDeclined.Has},
 		{"refused", func(context.Context, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }, func(err error) bool {
@@ -170,7 +172,8 @@
 	})
 }
 
-// TestRetiringCarrierIsNotUsedAgain guards against requests that begin on a tunnel whose carrier is about to stop.
+// TestRetiringCarrierIsNotUsedAgain guards against requests that begin on a tunnel whose relay is
+// about to stop.
 func TestRetiringCarrierIsNotUsedAgain(t *testing.T) {
 	address := target(t, func(conn *net.TCPConn) {
 		buffer := make([]byte, 1)
@@ -194,13 +197,13 @@
 		t.Fatal(err)
 	}
 	if _, err := io.ReadFull(busyConn, make([]byte, 1)); err != nil {
-		t.Errorf("what has begun is broken off: %v", err)
+		t.Errorf("a request in progress on a retiring tunnel is aborted: %v", err)
 	}
 	if !busyConn.(*tunnelConn).Retiring() {
-		t.Error("the near end does not know")
+		t.Error("the near end does not report the tunnel as retiring")
 	}
 	near := listen(t, "key", func(control.Message) {})
 	if _, err := near.Tunnel(context.Background(), relay.Address(), address); !ErrRelayDeclined.Has(err) {
-		t.Errorf("a new tunnel: error %v", err)
+		t.Errorf("a new tunnel through a retiring relay: error %v, want ErrRelayDeclined", err)
 	}
 }
