--- a/peer/acknowledge_test.go
+++ b/peer/acknowledge_test.go
@@ -110,7 +110,7 @@
 }
 
 // recoveryTimeout is how soon messages must arrive again after their connection has become silent.
-// It counts as a reset of the connections, after which a daemon has 3 s.
+// A silent connection counts as a connection reset, after which a daemon has 3 s to recover.
 const recoveryTimeout = 2 * time.Second
 
 // sendThrough sends messages through a proxy, one per interval, until the test ends. lastAt is the
--- a/peer/compress_test.go
+++ b/peer/compress_test.go
@@ -35,7 +35,7 @@
 	body := encodedRoutes(t, 400)
 	compressed := compress(body)
 	if minRatio*len(compressed) > len(body) {
-		t.Errorf("compressed to %d bytes of %d, want at most 1/6", len(compressed), len(body))
+		t.Errorf("compressed to %d bytes of %d, want a ratio of at least minRatio", len(compressed), len(body))
 	}
 	if decompressed, err := decompress(compressed); err != nil || !bytes.Equal(decompressed, body) {
 		t.Errorf("decompressed to %d bytes of %d, error %v", len(decompressed), len(body), err)
