--- a/member/exchange_test.go
+++ b/member/exchange_test.go
@@ -11,8 +11,9 @@
 	"github.com/wheatweir/wheatweir/member"
 )
 
-// knowing returns a detector that has heard of so many members, of which some have started anew since.
-func knowing(name string, count, restarted int) *member.Detector {
+// detectorWithMembers returns a detector with count known members, of which some have restarted
+// since.
+func detectorWithMembers(name string, count, restarted int) *member.Detector {
 	self := member.Member{Name: name, Zone: "z", PeerAddress: name, Incarnation: 1}
 	detector := member.NewDetector(self, member.DefaultSettings(), rand.New(rand.NewPCG(1, 2)))
 	for i := range count {
@@ -25,8 +26,8 @@
 	return detector
 }
 
-// bytesOf is the size of a message as it is sent.
-func bytesOf(t *testing.T, message member.Message) int {
+// encodedSize returns the size of a message in bytes as it is sent.
+func encodedSize(t *testing.T, message member.Message) int {
 	t.Helper()
 	body, err := msgpack.Marshal(&message)
 	if err != nil {
@@ -35,14 +36,14 @@
 	return len(body)
 }
 
-// TestDaemonsThatDifferExchangeTheDifference has a daemon ping another one that knows of some restarts more. It guards
-// against answers that tell everything, which in a fleet of 1,000 are 90 kB a second for each daemon while some members
-// come and go.
+// TestDaemonsThatDifferExchangeTheDifference has a daemon ping another one that has recorded some
+// more restarts. It guards against answers with the full state. In a fleet of 1,000 those are 90
+// kB/s for each daemon while some members join and leave.
 func TestDaemonsThatDifferExchangeTheDifference(t *testing.T) {
-	const members, restarted, mostBytes = 1000, 10, 12000
-	a, b := knowing("a", members, 0), knowing("b", members, restarted)
+	const members, restarted, maxBytes = 1000, 10, 12000
+	a, b := detectorWithMembers("a", members, 0), detectorWithMembers("b", members, restarted)
 	now := time.Unix(1100, 0)
-	// They have told each other everything when they joined.
+	// Both have sent each other the full state when they joined.
 	for _, pair := range [][2]*member.Detector{{a, b}, {b, a}} {
 		pair[1].Receive(now, member.Message{Kind: member.Ping, Sender: pair[0].Self()})
 	}
@@ -55,24 +56,25 @@
 		}
 		var answers []member.Packet
 		for _, packet := range sent {
-			total += bytesOf(t, packet.Message)
+			total += encodedSize(t, packet.Message)
 			answers = append(answers, receiver.Receive(now, packet.Message)...)
 		}
 		sent = answers
 	}
 	for i := range restarted {
 		if known, _ := a.Lookup(fmt.Sprint("d", i)); known.Incarnation != 2 {
-			t.Errorf("d%d is known by its incarnation %d", i, known.Incarnation)
+			t.Errorf("d%d has the incarnation %d, want 2", i, known.Incarnation)
 		}
 	}
-	if total > mostBytes {
-		t.Errorf("%d bytes, at most %d wanted", total, mostBytes)
+	if total > maxBytes {
+		t.Errorf("exchange took %d bytes, want at most %d", total, maxBytes)
 	}
 }
 
-// BenchmarkNewsAfterACommonStart sends messages while all members of a large group are news.
+// BenchmarkNewsAfterACommonStart measures message handling while updates about all members of a
+// large group are queued.
 func BenchmarkNewsAfterACommonStart(b *testing.B) {
-	detector := knowing("a", 1000, 0)
+	detector := detectorWithMembers("a", 1000, 0)
 	now := time.Unix(1100, 0)
 	sender, _ := detector.Lookup("d1")
 	for b.Loop() {
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -55,19 +55,19 @@
 		return body
 	}
 	cases := []struct {
-		name  string
-		speak func(t *testing.T, conn net.Conn)
+		name      string
+		runClient func(t *testing.T, conn net.Conn)
 	}{
 		{"another key", func(t *testing.T, conn net.Conn) {
 			if _, err := openSession(conn, []byte("other"), true); err == nil {
-				t.Error("the session opened")
+				t.Error("the session opened with another key")
 			}
 		}},
 		{"no handshake", func(_ *testing.T, conn net.Conn) { _, _ = conn.Write(make([]byte, 4096)) }},
 		{"a changed frame", func(t *testing.T, conn net.Conn) {
 			session := open(t, conn)
 			body := valid(t)
-			mac := session.out.sum([]byte("another body"))
+			mac := session.out.nextMAC([]byte("another body"))
 			_, _ = conn.Write(append(append([]byte{0, 0, 0, byte(len(body))}, mac...), body...))
 		}},
 		{"a frame sent twice", func(t *testing.T, conn net.Conn) {
@@ -81,7 +81,7 @@
 			open(t, conn)
 			_, _ = conn.Write(append([]byte{255, 255, 255, 255}, make([]byte, macBytes)...))
 		}},
-		{"a body that is no message", func(t *testing.T, conn net.Conn) {
+		{"a body that is not a message", func(t *testing.T, conn net.Conn) {
 			if err := open(t, conn).writeFrame([]byte("\xc1")); err != nil {
 				t.Error(err)
 			}
@@ -96,10 +96,10 @@
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			c.speak(t, conn)
+			c.runClient(t, conn)
 			rejected(target)
 			if extra := len(messages); extra > 1 {
-				t.Fatalf("%d messages were taken", extra)
+				t.Fatalf("%d messages were accepted, want at most 1", extra)
 			}
 		})
 	}
@@ -127,8 +127,8 @@
 	})
 }
 
-// TestFirstMessageToARestartedDaemonArrives guards against messages that are lost because they are written to
-// a connection that the peer closed when it restarted at the same address.
+// TestFirstMessageToARestartedDaemonArrives guards against messages that are lost because they are
+// written to a connection that the peer closed when it restarted at the same address.
 func TestFirstMessageToARestartedDaemonArrives(t *testing.T) {
 	source := listen(t, "key", func(control.Message) {})
 	address := "127.0.0.1:0"
@@ -152,8 +152,8 @@
 	}
 }
 
-// TestCloseWaitsForNoPeer guards against a daemon that ends seconds late, as it still sends to a daemon that takes
-// connections and says nothing.
+// TestCloseWaitsForNoPeer guards against a daemon that stops seconds late because it is still
+// sending to a daemon that accepts connections and never answers the handshake.
 func TestCloseWaitsForNoPeer(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -165,14 +165,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for range sendRingSize {
+		for range sendRingMessages {
 			source.Send(listener.Addr().String(), control.Message{Through: 1})
 		}
 		time.Sleep(20 * time.Millisecond)
 		began := time.Now()
 		source.Close()
 		if took := time.Since(began); took > 500*time.Millisecond {
-			t.Fatalf("the end took %v", took)
+			t.Fatalf("closing the transport took %v", took)
 		}
 	}
 }
--- a/peer/session.go
+++ b/peer/session.go
@@ -18,35 +18,35 @@
 	macBytes       = 16
 	// frameOverhead is what a frame adds to its body.
 	frameOverhead = lengthBytes + macBytes
-	// readBufferBytes holds a few usual messages. Larger ones are read past the buffer; a
-	// daemon of a large fleet has hundreds of connections.
+	// readBufferBytes holds a few typical messages. Larger ones bypass the buffer. It is small
+	// since a daemon of a large fleet has hundreds of connections.
 	readBufferBytes = 512
-	// handshakeTimeout bounds the exchange of challenges.
+	// handshakeTimeout bounds the handshake.
 	handshakeTimeout = 3 * time.Second
 )
 
-// Labels keep the two directions and the two uses of the key apart. Daemons whose sessions have another form, such as those
-// that acknowledge nothing, have other labels.
+// Labels separate the two directions and the two uses of the key. Daemons whose sessions have
+// another format, such as those without acknowledgements, have other labels.
 const (
 	labelDialer   = "wheatweir peer dialer 2"
 	labelListener = "wheatweir peer listener 2"
 	labelTunnel   = "wheatweir tunnel dialer"
-	// labelFrames and labelAcknowledgements keep the keys of the two directions of a session apart.
+	// labelFrames and labelAcknowledgements separate the keys of the two directions of a session.
 	labelFrames           = "wheatweir peer frames"
 	labelAcknowledgements = "wheatweir peer acknowledgements"
 )
 
-// session is one connection after the exchange of challenges. Messages go from the dialer to the listener, and
+// session is one connection after the handshake. Messages go from the dialer to the listener, and
 // acknowledgements back.
 type session struct {
 	conn   net.Conn
 	reader *bufio.Reader
-	// out and in are the MACs of the two directions.
+	// out and in hold the MAC states of the two directions.
 	out, in direction
 	buffer  []byte
 }
 
-// direction is the MAC of the frames of one direction, and the number of the next one.
+// direction is the MAC state of the frames of one direction, with the number of the next frame.
 type direction struct {
 	mac      hash.Hash
 	sequence uint64
@@ -62,35 +62,36 @@
 	return opened, err
 }
 
-// handshake exchanges challenges and proofs. The listener proves itself too, so that a dialer does not talk to a
-// stranger on an address used again. It returns which of the labels the other side has proved.
-func handshake(conn net.Conn, key []byte, ownLabel string, others ...string) (*session, string, error) {
+// handshake exchanges challenges and proofs. The listener proves its key too, so that a dialer does
+// not talk to a foreign process on a reused address. It returns which of remoteLabels the other
+// side has proved.
+func handshake(conn net.Conn, key []byte, localLabel string, remoteLabels ...string) (*session, string, error) {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, "", ErrProtocol.Wrap(err)
 	}
-	var own, other [challengeBytes]byte
-	if _, err := rand.Read(own[:]); err != nil {
+	var localChallenge, remoteChallenge [challengeBytes]byte
+	if _, err := rand.Read(localChallenge[:]); err != nil {
 		return nil, "", ErrProtocol.Wrap(err)
 	}
-	if _, err := conn.Write(own[:]); err != nil {
+	if _, err := conn.Write(localChallenge[:]); err != nil {
 		return nil, "", ErrProtocol.Wrap(err)
 	}
-	if _, err := io.ReadFull(conn, other[:]); err != nil {
+	if _, err := io.ReadFull(conn, remoteChallenge[:]); err != nil {
 		return nil, "", ErrProtocol.Wrap(err)
 	}
-	dialerChallenge, listenerChallenge := own[:], other[:]
-	if ownLabel == labelListener {
+	dialerChallenge, listenerChallenge := localChallenge[:], remoteChallenge[:]
+	if localLabel == labelListener {
 		dialerChallenge, listenerChallenge = listenerChallenge, dialerChallenge
 	}
-	if _, err := conn.Write(proof(key, ownLabel, dialerChallenge, listenerChallenge)); err != nil {
+	if _, err := conn.Write(proof(key, localLabel, dialerChallenge, listenerChallenge)); err != nil {
 		return nil, "", ErrProtocol.Wrap(err)
 	}
-	var answer [sha256.Size]byte
-	if _, err := io.ReadFull(conn, answer[:]); err != nil {
+	var remoteProof [sha256.Size]byte
+	if _, err := io.ReadFull(conn, remoteProof[:]); err != nil {
 		return nil, "", ErrProtocol.Wrap(err)
 	}
-	for _, label := range others {
-		if !hmac.Equal(answer[:], proof(key, label, dialerChallenge, listenerChallenge)) {
+	for _, label := range remoteLabels {
+		if !hmac.Equal(remoteProof[:], proof(key, label, dialerChallenge, listenerChallenge)) {
 			continue
 		}
 		if err := conn.SetDeadline(time.Time{}); err != nil {
@@ -99,12 +100,12 @@
 		frames := direction{mac: hmac.New(sha256.New, proof(key, labelFrames, dialerChallenge, listenerChallenge))}
 		acknowledgements := direction{mac: hmac.New(sha256.New, proof(key, labelAcknowledgements, dialerChallenge, listenerChallenge))}
 		opened := &session{conn: conn, reader: bufio.NewReaderSize(conn, readBufferBytes), out: frames, in: acknowledgements}
-		if ownLabel == labelListener {
+		if localLabel == labelListener {
 			opened.out, opened.in = acknowledgements, frames
 		}
 		return opened, label, nil
 	}
-	return nil, "", ErrProtocol.New("the other side does not know the deployment's key")
+	return nil, "", ErrProtocol.New("handshake failed: the other side does not have the deployment's key")
 }
 
 func proof(key []byte, label string, dialerChallenge, listenerChallenge []byte) []byte {
@@ -115,8 +116,8 @@
 	return mac.Sum(nil)
 }
 
-// sum returns the MAC of the next frame and counts it.
-func (d *direction) sum(body []byte) []byte {
+// nextMAC returns the MAC of the next frame and increments the frame number.
+func (d *direction) nextMAC(body []byte) []byte {
 	d.mac.Reset()
 	var number [8]byte
 	binary.BigEndian.PutUint64(number[:], d.sequence)
@@ -129,10 +130,10 @@
 // writeFrame sends one frame: length of the body, MAC, body.
 func (s *session) writeFrame(body []byte) error {
 	if len(body) > maxFrameBytes {
-		return ErrProtocol.New("frame of %d bytes is over %d", len(body), maxFrameBytes)
+		return ErrProtocol.New("frame of %d bytes exceeds the limit of %d bytes", len(body), maxFrameBytes)
 	}
 	s.buffer = binary.BigEndian.AppendUint32(s.buffer[:0], uint32(len(body)))
-	s.buffer = append(s.buffer, s.out.sum(body)...)
+	s.buffer = append(s.buffer, s.out.nextMAC(body)...)
 	s.buffer = append(s.buffer, body...)
 	if err := s.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return ErrProtocol.Wrap(err)
@@ -141,30 +142,31 @@
 	return err
 }
 
-// readFrame returns the body of the next frame. The slice is new.
+// readFrame returns the body of the next frame in a new slice.
 func (s *session) readFrame() ([]byte, error) {
 	return s.readFrameUntil(time.Now().Add(2 * idleTimeout))
 }
 
-// readFrameUntil returns the body of the next frame if it comes before a moment; the zero time stands for no bound.
+// readFrameUntil returns the body of the next frame if it arrives before the deadline; the zero
+// time means no deadline.
 func (s *session) readFrameUntil(deadline time.Time) ([]byte, error) {
 	if err := s.conn.SetReadDeadline(deadline); err != nil {
 		return nil, err
 	}
-	var head [frameOverhead]byte
-	if _, err := io.ReadFull(s.reader, head[:]); err != nil {
+	var header [frameOverhead]byte
+	if _, err := io.ReadFull(s.reader, header[:]); err != nil {
 		return nil, err
 	}
-	length := binary.BigEndian.Uint32(head[:lengthBytes])
+	length := binary.BigEndian.Uint32(header[:lengthBytes])
 	if length > maxFrameBytes {
-		return nil, ErrProtocol.New("frame of %d bytes is over %d", length, maxFrameBytes)
+		return nil, ErrProtocol.New("frame of %d bytes exceeds the limit of %d bytes", length, maxFrameBytes)
 	}
 	body := make([]byte, length)
 	if _, err := io.ReadFull(s.reader, body); err != nil {
 		return nil, err
 	}
-	if !hmac.Equal(head[lengthBytes:], s.in.sum(body)) {
-		return nil, ErrProtocol.New("frame %d has a wrong MAC", s.in.sequence-1)
+	if !hmac.Equal(header[lengthBytes:], s.in.nextMAC(body)) {
+		return nil, ErrProtocol.New("frame %d has an invalid MAC", s.in.sequence-1)
 	}
 	return body, nil
 }
--- a/peer/tunnel.go
+++ b/peer/tunnel.go
@@ -15,80 +15,84 @@
 	"github.com/zeebo/errs"
 )
 
-// Classes of errors of tunnels.
+// Error classes of tunnels.
 var (
-	// ErrRelay means that the other daemon could not be reached, or did not answer.
+	// ErrRelay means that the relay could not be reached, or did not answer.
 	ErrRelay = errs.Class("peer: relay")
-	// ErrRelayCut means that the other daemon reaches no such address itself.
+	// ErrRelayCut means that the relay itself cannot reach addresses like the target.
 	ErrRelayCut = errs.Class("peer: relay is cut off")
-	// ErrRelayDeclined means that the other daemon carries no more tunnels, or not to this address.
+	// ErrRelayDeclined means that the relay accepts no more tunnels, or none to this address.
 	ErrRelayDeclined = errs.Class("peer: relay declined")
-	// ErrTarget means that the other daemon could not connect to the address.
+	// ErrTarget means that the relay could not connect to the target.
 	ErrTarget = errs.Class("peer: target")
 )
 
-// tunnelStatus is the answer to the request for a tunnel.
+// tunnelStatus is the relay's answer to the request for a tunnel.
 type tunnelStatus byte
 
 const (
 	tunnelOpen tunnelStatus = iota
 	tunnelRefused
-	tunnelUnreached
-	tunnelCut
+	tunnelUnreachable
+	tunnelNoRoute
 	tunnelDeclined
 )
 
 const (
-	// maxTunnels bounds the tunnels that are carried at once.
+	// maxTunnels bounds the tunnels that are relayed at once.
 	maxTunnels = 512
-	// maxPieceBytes bounds a piece of the bytes on their way back.
-	maxPieceBytes = 8 << 10
-	// pieceHeadBytes is the length before each piece.
-	pieceHeadBytes = 2
-	// lastPiece is the length that stands for the end: the target has closed its side. Without it, a connection that
-	// ends with its carrier would look like an answer that ended well.
-	lastPiece = 0
-	// retiringPiece is the length that stands for a carrier that is about to stop.
-	retiringPiece = 0xffff
-	// targetTimeout bounds the connecting to a target, and tunnelTimeout the whole opening of a tunnel.
-	targetTimeout = 250 * time.Millisecond
-	tunnelTimeout = 2 * time.Second
+	// maxChunkBytes bounds a chunk of the bytes from the target.
+	maxChunkBytes = 8 << 10
+	// chunkHeaderBytes is the size of the length before each chunk.
+	chunkHeaderBytes = 2
+	// endMarker is the length that marks the end: the target has closed its side. Without it, a
+	// connection that ends because its relay ends would look like a complete answer.
+	endMarker = 0
+	// retiringMarker is the length that marks a relay that is about to stop.
+	retiringMarker = 0xffff
+	// targetConnectTimeout bounds the connecting to a target, and tunnelOpenTimeout the whole
+	// opening of a tunnel.
+	targetConnectTimeout = 250 * time.Millisecond
+	tunnelOpenTimeout    = 2 * time.Second
 )
 
-// Carry tells a transport how to connect to targets for other daemons. Connect returns an error of the class
-// ErrRelayCut or ErrRelayDeclined if this daemon cannot or may not do so. Without it, tunnels are declined.
+// Carry sets how the transport connects to targets for other daemons. The function connect returns
+// an error of the class ErrRelayCut or ErrRelayDeclined if this daemon cannot or may not do so.
+// Without Carry, tunnels are declined.
 func (t *Transport[M]) Carry(connect func(ctx context.Context, target string) (net.Conn, error)) {
 	t.tunnels.mutex.Lock()
 	defer t.tunnels.mutex.Unlock()
 	t.tunnels.connect = connect
 }
 
-// Retire carries no more tunnels, and has the other daemons begin nothing new on those that are open.
+// Retire declines new tunnels, and notifies the other daemons so that they begin nothing new on the
+// open ones.
 func (t *Transport[M]) Retire() {
 	t.tunnels.mutex.Lock()
 	t.tunnels.retiring = true
-	var open []*carried
+	var open []*relayedTunnel
 	for tunnel := range t.tunnels.open {
 		open = append(open, tunnel)
 	}
 	t.tunnels.mutex.Unlock()
 	for _, tunnel := range open {
-		t.group.Go(tunnel.retire)
+		t.group.Go(tunnel.sendRetiring)
 	}
 }
 
-// Tunnels returns how many tunnels are carried now.
+// Tunnels returns how many tunnels are open at this relay.
 func (t *Transport[M]) Tunnels() int {
 	t.tunnels.mutex.Lock()
 	defer t.tunnels.mutex.Unlock()
 	return len(t.tunnels.open)
 }
 
-// Tunnel has the daemon at a peer address connect to a target, and returns the connection through it.
+// Tunnel requests the daemon at the peer address relay to connect to a target, and returns the
+// connection through it.
 func (t *Transport[M]) Tunnel(ctx context.Context, relay, target string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, tunnelTimeout)
+	ctx, cancel := context.WithTimeout(ctx, tunnelOpenTimeout)
 	defer cancel()
-	dialer := net.Dialer{KeepAliveConfig: keepAlive}
+	dialer := net.Dialer{KeepAliveConfig: keepAliveConfig}
 	conn, err := dialer.DialContext(ctx, "tcp", relay)
 	if err != nil {
 		return nil, ErrRelay.Wrap(err)
@@ -105,7 +109,7 @@
 	return tunnel, nil
 }
 
-// openTunnel asks for a tunnel on a new connection.
+// openTunnel requests a tunnel on a new connection.
 func openTunnel(conn net.Conn, key []byte, target string) (*tunnelConn, error) {
 	opened, _, err := handshake(conn, key, labelTunnel, labelListener)
 	if err != nil {
@@ -114,7 +118,8 @@
 	if err := opened.writeFrame([]byte(target)); err != nil {
 		return nil, ErrRelay.Wrap(err)
 	}
-	// Past the session's buffer: whoever looks at the socket must see all that is unread.
+	// The status is read from the connection, not through the session's buffer: code that peeks at
+	// the socket must see all unread bytes.
 	var status [1]byte
 	if _, err := io.ReadFull(conn, status[:]); err != nil {
 		return nil, ErrRelay.Wrap(err)
@@ -127,30 +132,30 @@
 		return &tunnelConn{Conn: conn}, nil
 	case tunnelRefused:
 		return nil, ErrTarget.Wrap(&net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED})
-	case tunnelUnreached:
+	case tunnelUnreachable:
 		return nil, ErrTarget.Wrap(&net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded})
-	case tunnelCut:
+	case tunnelNoRoute:
 		return nil, ErrRelayCut.New("%s", conn.RemoteAddr())
 	default:
 		return nil, ErrRelayDeclined.New("%s", conn.RemoteAddr())
 	}
 }
 
-// tunnelConn is the near end of a tunnel. It has no buffer of its own, so that whoever looks at the socket sees
-// whether something has come.
+// tunnelConn is the near end of a tunnel. It has no buffer of its own, so that code that peeks at
+// the socket sees whether something has arrived.
 type tunnelConn struct {
 	net.Conn
-	// left is what is still to be read of the current piece.
-	left  int
-	ended bool
-	// retiring says that the carrier is about to stop.
+	// remaining is the number of bytes of the current chunk that are still to be read.
+	remaining int
+	ended     bool
+	// retiring means that the relay is about to stop.
 	retiring atomic.Bool
 }
 
-// Retiring reports whether nothing new should begin on the connection.
+// Retiring reports whether no new request should begin on the connection.
 func (c *tunnelConn) Retiring() bool { return c.retiring.Load() }
 
-// SyscallConn gives access to the socket to the carrier.
+// SyscallConn gives access to the socket that leads to the relay.
 func (c *tunnelConn) SyscallConn() (syscall.RawConn, error) {
 	socket, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -161,51 +166,52 @@
 
 // Read returns io.EOF only if the target has closed its side.
 func (c *tunnelConn) Read(buffer []byte) (int, error) {
-	for c.left == 0 {
+	for c.remaining == 0 {
 		if c.ended {
 			return 0, io.EOF
 		}
-		var head [pieceHeadBytes]byte
-		if _, err := io.ReadFull(c.Conn, head[:]); err != nil {
-			return 0, unexpected(err)
+		var header [chunkHeaderBytes]byte
+		if _, err := io.ReadFull(c.Conn, header[:]); err != nil {
+			return 0, asUnexpectedEOF(err)
 		}
-		switch length := int(binary.BigEndian.Uint16(head[:])); {
-		case length == lastPiece:
+		switch length := int(binary.BigEndian.Uint16(header[:])); {
+		case length == endMarker:
 			c.ended = true
-		case length == retiringPiece:
+		case length == retiringMarker:
 			c.retiring.Store(true)
-		case length > maxPieceBytes:
-			return 0, ErrProtocol.New("piece of %d bytes", length)
+		case length > maxChunkBytes:
+			return 0, ErrProtocol.New("invalid tunnel chunk length of %d bytes", length)
 		default:
-			c.left = length
+			c.remaining = length
 		}
 	}
-	count, err := c.Conn.Read(buffer[:min(len(buffer), c.left)])
-	c.left -= count
+	count, err := c.Conn.Read(buffer[:min(len(buffer), c.remaining)])
+	c.remaining -= count
 	if count > 0 {
 		return count, nil
 	}
-	return 0, unexpected(err)
+	return 0, asUnexpectedEOF(err)
 }
 
-// unexpected returns an error that does not look like a proper end.
-func unexpected(err error) error {
+// asUnexpectedEOF turns io.EOF into io.ErrUnexpectedEOF, so that it does not look like a proper
+// end.
+func asUnexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// tunnels are those that a transport carries.
+// tunnels are the tunnels that a transport relays.
 type tunnels struct {
 	mutex    sync.Mutex
 	connect  func(ctx context.Context, target string) (net.Conn, error)
-	open     map[*carried]bool
+	open     map[*relayedTunnel]bool
 	retiring bool
 }
 
-// add counts a tunnel, unless no more are carried.
-func (t *tunnels) add(tunnel *carried) bool {
+// add registers a tunnel, unless new ones are declined.
+func (t *tunnels) add(tunnel *relayedTunnel) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.retiring || t.connect == nil || len(t.open) >= maxTunnels {
@@ -221,22 +227,22 @@
 	return t.retiring
 }
 
-func (t *tunnels) remove(tunnel *carried) {
+func (t *tunnels) remove(tunnel *relayedTunnel) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	delete(t.open, tunnel)
 }
 
-// carried is a tunnel at its carrier.
-type carried struct {
+// relayedTunnel is a tunnel at its relay.
+type relayedTunnel struct {
 	session *session
 	target  net.Conn
-	// writing keeps pieces whole.
-	writing sync.Mutex
+	// writeMutex keeps the writes of chunks from interleaving.
+	writeMutex sync.Mutex
 }
 
-// carry carries one tunnel until either side ends.
-func (t *Transport[M]) carry(session *session) {
+// serveTunnel relays one tunnel until either side ends.
+func (t *Transport[M]) serveTunnel(session *session) {
 	body, err := session.readFrame()
 	if err != nil {
 		t.count(func(counts *Counts) { counts.Rejected++ })
@@ -245,33 +251,33 @@
 	if err := session.conn.SetDeadline(time.Time{}); err != nil {
 		return
 	}
-	tunnel := &carried{session: session}
+	tunnel := &relayedTunnel{session: session}
 	if !t.tunnels.add(tunnel) {
 		_, _ = session.conn.Write([]byte{byte(tunnelDeclined)})
 		return
 	}
 	defer t.tunnels.remove(tunnel)
-	watchNearEnd(session.conn)
+	enableKeepAlive(session.conn)
 	if err := t.connectTarget(tunnel, string(body)); err != nil {
 		return
 	}
 	defer tunnel.target.Close()
 	stop := context.AfterFunc(t.ctx, func() { _ = tunnel.target.Close() })
 	defer stop()
-	t.group.Go(tunnel.forward)
+	t.group.Go(tunnel.copyToTarget)
 	if t.tunnels.isRetiring() {
-		t.group.Go(tunnel.retire)
+		t.group.Go(tunnel.sendRetiring)
 	}
-	tunnel.back()
+	tunnel.copyFromTarget()
 }
 
-// connectTarget connects a tunnel to its target and tells the near end what came of it.
-func (t *Transport[M]) connectTarget(tunnel *carried, target string) error {
-	ctx, cancel := context.WithTimeout(t.ctx, targetTimeout)
+// connectTarget connects a tunnel to its target and sends the resulting status to the near end.
+func (t *Transport[M]) connectTarget(tunnel *relayedTunnel, target string) error {
+	ctx, cancel := context.WithTimeout(t.ctx, targetConnectTimeout)
 	defer cancel()
 	conn, err := t.tunnels.connect(ctx, target)
-	tunnel.writing.Lock()
-	defer tunnel.writing.Unlock()
+	tunnel.writeMutex.Lock()
+	defer tunnel.writeMutex.Unlock()
 	if err != nil {
 		_, _ = tunnel.session.conn.Write([]byte{byte(statusOf(err))})
 		return err
@@ -284,36 +290,37 @@
 	return nil
 }
 
-// keepAlive ends tunnels whose other end has gone without a word.
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 3}
+// keepAliveConfig ends tunnels whose other end has disappeared without closing the connection.
+var keepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 3}
 
-func watchNearEnd(conn net.Conn) {
+func enableKeepAlive(conn net.Conn) {
 	if socket, ok := conn.(*net.TCPConn); ok {
-		_ = socket.SetKeepAliveConfig(keepAlive)
+		_ = socket.SetKeepAliveConfig(keepAliveConfig)
 	}
 }
 
 func statusOf(err error) tunnelStatus {
 	switch {
 	case ErrRelayCut.Has(err):
-		return tunnelCut
+		return tunnelNoRoute
 	case ErrRelayDeclined.Has(err):
 		return tunnelDeclined
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return tunnelRefused
 	default:
-		return tunnelUnreached
+		return tunnelUnreachable
 	}
 }
 
-// forward carries the bytes to the target. When the near end closes, so does the connection to the target.
-func (c *carried) forward() {
+// copyToTarget forwards the bytes to the target. When the near end closes, so does the connection
+// to the target.
+func (c *relayedTunnel) copyToTarget() {
 	defer c.target.Close()
-	buffer := make([]byte, maxPieceBytes)
+	buffer := make([]byte, maxChunkBytes)
 	for {
 		count, err := c.session.reader.Read(buffer)
 		if count > 0 {
-			if _, failed := c.target.Write(buffer[:count]); failed != nil {
+			if _, writeErr := c.target.Write(buffer[:count]); writeErr != nil {
 				return
 			}
 		}
@@ -323,17 +330,17 @@
 	}
 }
 
-// back carries the bytes from the target, and its end.
-func (c *carried) back() {
-	// A piece is written together with its head.
-	buffer := make([]byte, pieceHeadBytes+maxPieceBytes)
+// copyFromTarget forwards the bytes from the target, and its end.
+func (c *relayedTunnel) copyFromTarget() {
+	// A chunk is written together with its header.
+	buffer := make([]byte, chunkHeaderBytes+maxChunkBytes)
 	for {
-		count, err := c.target.Read(buffer[pieceHeadBytes:])
-		if count > 0 && c.write(buffer[:pieceHeadBytes+count], uint16(count)) != nil {
+		count, err := c.target.Read(buffer[chunkHeaderBytes:])
+		if count > 0 && c.writeChunk(buffer[:chunkHeaderBytes+count], uint16(count)) != nil {
 			return
 		}
 		if errors.Is(err, io.EOF) {
-			_ = c.write(buffer[:pieceHeadBytes], lastPiece)
+			_ = c.writeChunk(buffer[:chunkHeaderBytes], endMarker)
 		}
 		if err != nil {
 			return
@@ -341,27 +348,28 @@
 	}
 }
 
-// pieceTimeout bounds the writing of a piece: a near end whose client is slow reads slowly.
-const pieceTimeout = 30 * time.Second
+// chunkWriteTimeout bounds the writing of a chunk. It is long because a near end whose client is
+// slow reads slowly.
+const chunkWriteTimeout = 30 * time.Second
 
-// write sends one piece whose bytes stand behind room for its head.
-func (c *carried) write(piece []byte, length uint16) error {
-	binary.BigEndian.PutUint16(piece, length)
-	c.writing.Lock()
-	defer c.writing.Unlock()
-	if err := c.session.conn.SetWriteDeadline(time.Now().Add(pieceTimeout)); err != nil {
+// writeChunk sends one chunk. The first chunkHeaderBytes of chunk are reserved for its header.
+func (c *relayedTunnel) writeChunk(chunk []byte, length uint16) error {
+	binary.BigEndian.PutUint16(chunk, length)
+	c.writeMutex.Lock()
+	defer c.writeMutex.Unlock()
+	if err := c.session.conn.SetWriteDeadline(time.Now().Add(chunkWriteTimeout)); err != nil {
 		return err
 	}
-	_, err := c.session.conn.Write(piece)
+	_, err := c.session.conn.Write(chunk)
 	return err
 }
 
-// retire tells the near end that this carrier is about to stop.
-func (c *carried) retire() {
-	c.writing.Lock()
+// sendRetiring notifies the near end that this relay is about to stop.
+func (c *relayedTunnel) sendRetiring() {
+	c.writeMutex.Lock()
 	connected := c.target != nil
-	c.writing.Unlock()
+	c.writeMutex.Unlock()
 	if connected {
-		_ = c.write(make([]byte, pieceHeadBytes), retiringPiece)
+		_ = c.writeChunk(make([]byte, chunkHeaderBytes), retiringMarker)
 	}
 }
--- a/peer/tunnel_test.go
+++ b/peer/tunnel_test.go
@@ -13,7 +13,7 @@
 	"github.com/wheatweir/wheatweir/internal/idle"
 )
 
-// target is an address that tunnels lead to. Its connections are handed to serve.
+// target listens on an address to which tunnels lead and passes its connections to serve.
 func target(t *testing.T, serve func(conn *net.TCPConn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,8 +33,8 @@
 	return listener.Addr().String()
 }
 
-// carrier is a transport that carries tunnels to anywhere.
-func carrier(t *testing.T) *Transport[control.Message] {
+// relayTransport is a transport that relays tunnels to any address.
+func relayTransport(t *testing.T) *Transport[control.Message] {
 	t.Helper()
 	transport := listen(t, "key", func(control.Message) {})
 	transport.Carry(func(ctx context.Context, target string) (net.Conn, error) {
@@ -44,11 +44,11 @@
 	return transport
 }
 
-// tunnelTo opens a tunnel through a carrier.
-func tunnelTo(t *testing.T, carrier *Transport[control.Message], target string) net.Conn {
+// tunnelTo opens a tunnel through a relay.
+func tunnelTo(t *testing.T, relay *Transport[control.Message], target string) net.Conn {
 	t.Helper()
 	near := listen(t, "key", func(control.Message) {})
-	conn, err := near.Tunnel(context.Background(), carrier.Address(), target)
+	conn, err := near.Tunnel(context.Background(), relay.Address(), target)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,9 +59,10 @@
 	return conn
 }
 
-// TestTunnelCarriesBytesAndTheEnd covers both directions of a tunnel, and an end that the target has chosen.
+// TestTunnelCarriesBytesAndTheEnd covers both directions of a tunnel, and an end that the target
+// initiates.
 func TestTunnelCarriesBytesAndTheEnd(t *testing.T) {
-	const size = 3*maxPieceBytes + 17
+	const size = 3*maxChunkBytes + 17
 	address := target(t, func(conn *net.TCPConn) {
 		defer conn.Close()
 		content := make([]byte, size)
@@ -69,7 +70,7 @@
 			_, _ = conn.Write(content)
 		}
 	})
-	conn := tunnelTo(t, carrier(t), address)
+	conn := tunnelTo(t, relayTransport(t), address)
 	sent := make([]byte, size)
 	for i := range sent {
 		sent[i] = byte(i)
@@ -79,12 +80,12 @@
 	}
 	got, err := io.ReadAll(conn)
 	if err != nil || string(got) != string(sent) {
-		t.Errorf("%d bytes of %d came back, %v", len(got), len(sent), err)
+		t.Errorf("received %d of %d bytes, error %v", len(got), len(sent), err)
 	}
 }
 
-// TestTunnelDoesNotEndWellByItself guards against answers without a length that look whole although the target has
-// reset its connection, or the carrier has ended.
+// TestTunnelDoesNotEndWellByItself guards against answers without a length that look complete
+// although the target has reset its connection, or the relay has ended.
 func TestTunnelDoesNotEndWellByItself(t *testing.T) {
 	reset := func(conn *net.TCPConn) {
 		_, _ = conn.Write([]byte("a part"))
@@ -93,32 +94,33 @@
 		_ = conn.Close()
 	}
 	t.Run("target resets", func(t *testing.T) {
-		conn := tunnelTo(t, carrier(t), target(t, reset))
+		conn := tunnelTo(t, relayTransport(t), target(t, reset))
 		if got, err := io.ReadAll(conn); err == nil {
-			t.Errorf("%q ends well", got)
+			t.Errorf("%q ends with io.EOF", got)
 		}
 	})
-	t.Run("carrier ends", func(t *testing.T) {
-		through := carrier(t)
-		conn := tunnelTo(t, through, target(t, func(conn *net.TCPConn) { _, _ = conn.Write([]byte("a part")) }))
+	t.Run("relay ends", func(t *testing.T) {
+		relay := relayTransport(t)
+		conn := tunnelTo(t, relay, target(t, func(conn *net.TCPConn) { _, _ = conn.Write([]byte("a part")) }))
 		if _, err := io.ReadFull(conn, make([]byte, 6)); err != nil {
 			t.Fatal(err)
 		}
-		through.Close()
+		relay.Close()
 		if got, err := io.ReadAll(conn); err == nil {
-			t.Errorf("%q ends well", got)
+			t.Errorf("%q ends with io.EOF", got)
 		}
 	})
 }
 
-// TestClosingATunnelClosesItsTarget guards against requests whose caller has left and that a server works on.
+// TestClosingATunnelClosesItsTarget guards against requests that a server continues to process
+// after their caller has left.
 func TestClosingATunnelClosesItsTarget(t *testing.T) {
 	ended := make(chan error, 1)
 	address := target(t, func(conn *net.TCPConn) {
 		_, err := io.ReadAll(conn)
 		ended <- err
 	})
-	conn := tunnelTo(t, carrier(t), address)
+	conn := tunnelTo(t, relayTransport(t), address)
 	if _, err := conn.Write([]byte("a request")); err != nil {
 		t.Fatal(err)
 	}
@@ -126,7 +128,7 @@
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second):
-		t.Error("the target's connection stays open")
+		t.Error("the connection to the target stays open")
 	}
 }
 
@@ -138,7 +140,7 @@
 		connect func(ctx context.Context, target string) (net.Conn, error)
 		want    func(err error) bool
 	}{
-		{"carries none", nil, ErrRelayDeclined.Has},
+		{"relays no tunnels", nil, ErrRelayDeclined.Has},
 		{"cut off", func(context.Context, string) (net.Conn, error) { return nil, ErrRelayCut.New("") }, ErrRelayCut.Has},
 		{"declined", func(context.Context, string) (net.Conn, error) { return nil, ErrRelayDeclined.New("") }, ErrRelayDeclined.Has},
 		{"refused", func(context.Context, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }, func(err error) bool {
@@ -151,26 +153,27 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			through := listen(t, "key", func(control.Message) {})
+			relay := listen(t, "key", func(control.Message) {})
 			if c.connect != nil {
-				through.Carry(c.connect)
+				relay.Carry(c.connect)
 			}
-			if _, err := near.Tunnel(context.Background(), through.Address(), "127.0.0.1:1"); !c.want(err) {
+			if _, err := near.Tunnel(context.Background(), relay.Address(), "127.0.0.1:1"); !c.want(err) {
 				t.Errorf("error %v", err)
 			}
 		})
 	}
 	t.Run("another key", func(t *testing.T) {
 		stranger := listen(t, "other", func(control.Message) {})
-		through := carrier(t)
-		if _, err := stranger.Tunnel(context.Background(), through.Address(), "127.0.0.1:1"); !ErrRelay.Has(err) {
+		relay := relayTransport(t)
+		if _, err := stranger.Tunnel(context.Background(), relay.Address(), "127.0.0.1:1"); !ErrRelay.Has(err) {
 			t.Errorf("error %v", err)
 		}
-		rejected(through)
+		rejected(relay)
 	})
 }
 
-// TestRetiringCarrierIsNotUsedAgain guards against requests that begin on a tunnel whose carrier is about to stop.
+// TestRetiringCarrierIsNotUsedAgain guards against requests that begin on a tunnel whose relay is
+// about to stop.
 func TestRetiringCarrierIsNotUsedAgain(t *testing.T) {
 	address := target(t, func(conn *net.TCPConn) {
 		buffer := make([]byte, 1)
@@ -181,26 +184,26 @@
 			_, _ = conn.Write(buffer)
 		}
 	})
-	through := carrier(t)
-	resting, busy := tunnelTo(t, through, address), tunnelTo(t, through, address)
-	if !idle.IsOpen(resting) {
+	relay := relayTransport(t)
+	idleConn, busyConn := tunnelTo(t, relay, address), tunnelTo(t, relay, address)
+	if !idle.IsOpen(idleConn) {
 		t.Fatal("an unused tunnel is not open")
 	}
-	through.Retire()
-	for idle.IsOpen(resting) {
+	relay.Retire()
+	for idle.IsOpen(idleConn) {
 		time.Sleep(time.Millisecond)
 	}
-	if _, err := busy.Write([]byte("x")); err != nil {
+	if _, err := busyConn.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadFull(busy, make([]byte, 1)); err != nil {
-		t.Errorf("what has begun is broken off: %v", err)
+	if _, err := io.ReadFull(busyConn, make([]byte, 1)); err != nil {
+		t.Errorf("a request in progress on a retiring tunnel is aborted: %v", err)
 	}
-	if !busy.(*tunnelConn).Retiring() {
-		t.Error("the near end does not know")
+	if !busyConn.(*tunnelConn).Retiring() {
+		t.Error("the near end does not report the tunnel as retiring")
 	}
 	near := listen(t, "key", func(control.Message) {})
-	if _, err := near.Tunnel(context.Background(), through.Address(), address); !ErrRelayDeclined.Has(err) {
-		t.Errorf("a new tunnel: error %v", err)
+	if _, err := near.Tunnel(context.Background(), relay.Address(), address); !ErrRelayDeclined.Has(err) {
+		t.Errorf("a new tunnel through a retiring relay: error %v, want ErrRelayDeclined", err)
 	}
 }
