--- a/control/backends.go
+++ b/control/backends.go
@@ -14,8 +14,8 @@
 	report api.Report
 	known  bool
 	at     time.Time
-	// aged says that the routing view no longer counts the report.
-	aged bool
+	// expired says that the routing view no longer counts the report.
+	expired bool
 	// health and viewedBoot are what the routing view was made with.
 	viewedBoot string
 	health     placement.Health
@@ -23,9 +23,9 @@
 	nextPoll   time.Time
 	failures   int
 	orders     map[orderKey]time.Time
-	share      shareState
-	// askers are the peer addresses that wait for this daemon's next poll.
-	askers []string
+	sent       sentReportState
+	// requesters are the peer addresses that wait for this daemon's next poll.
+	requesters []string
 }
 
 type orderKey struct {
@@ -48,7 +48,7 @@
 	for _, name := range n.actingFor() {
 		n.pollIfDue(now, name)
 	}
-	n.removeGoneRecords(now)
+	n.deleteOrphanRecords(now)
 }
 
 func (n *Node) pollIfDue(now time.Time, name string) {
@@ -62,7 +62,7 @@
 	}
 	state.polling = true
 	state.nextPoll = now.Add(n.jitter(n.settings.PollInterval))
-	n.do(Poll{BackEnd: name, Address: machine.Address})
+	n.emit(Poll{BackEnd: name, Address: machine.Address})
 }
 
 // PollAnswered takes in the answer to Poll.
@@ -72,21 +72,21 @@
 	machine, found := n.catalog.machines[answer.BackEnd]
 	acting := found && n.actsForBackEnd(answer.BackEnd, machine.Zone)
 	if answer.Err != CallOK {
-		state.askers = nil
+		state.requesters = nil
 		if acting {
 			n.pollFailed(answer.BackEnd, state)
 		}
-		return n.take()
+		return n.takeActions()
 	}
 	state.failures = 0
-	n.takeReport(now, answer.Report)
-	n.answerAskers(state)
+	n.mergeReport(now, answer.Report)
+	n.answerRequesters(state)
 	if acting {
 		n.observeHealth(&answer.Report)
 		n.reconcile(now, answer.BackEnd, machine, state)
-		n.shareReport(now, answer.BackEnd, state)
+		n.distributeReport(now, answer.BackEnd, state)
 	}
-	return n.take()
+	return n.takeActions()
 }
 
 // pollFailed counts polls that failed in a row. Only the daemon that acts for a back
@@ -95,31 +95,31 @@
 func (n *Node) pollFailed(name string, state *backEndState) {
 	state.failures++
 	if state.failures < n.settings.PollFailures {
-		n.askOthers(name)
+		n.requestPolls(name)
 		return
 	}
-	news, heard := n.detector.BackEnd(name)
-	if heard && n.detector.ObserveBackEnd(name, news.Boot, member.BackEndDown) {
+	entry, observed := n.detector.BackEnd(name)
+	if observed && n.detector.ObserveBackEnd(name, entry.Boot, member.BackEndDown) {
 		n.revision++
-		n.decide("placement", "Back end is down.", "back_end", name, "failed_polls", state.failures)
+		n.logDecision("placement", "Back end is down.", "back_end", name, "failed_polls", state.failures)
 	}
 }
 
-// takeReport takes in a report if it is newer than the known one, and returns
+// mergeReport takes in a report if it is newer than the known one, and returns
 // whether it is.
-func (n *Node) takeReport(now time.Time, report api.Report) bool {
+func (n *Node) mergeReport(now time.Time, report api.Report) bool {
 	state := n.backEnd(report.BackEnd)
 	if state.known && !reportNewer(&report, &state.report) {
 		return false
 	}
-	if !state.known || state.aged || !sameStructure(&state.report, &report) {
+	if !state.known || state.expired || !sameStructure(&state.report, &report) {
 		n.revision++
 		n.catalog.markBackEnd(report.BackEnd)
 	}
 	state.report = report
 	state.known = true
-	state.aged = false
-	n.noteLoad(now, state)
+	state.expired = false
+	n.recordLoad(now, state)
 	return true
 }
 
@@ -130,11 +130,11 @@
 		health = member.BackEndLeaving
 	}
 	if n.detector.ObserveBackEnd(report.BackEnd, report.Boot, health) {
-		n.decide("placement", "Back end state.", "back_end", report.BackEnd, "state", health, "boot", report.Boot)
+		n.logDecision("placement", "Back end state.", "back_end", report.BackEnd, "state", health, "boot", report.Boot)
 	}
 }
 
-func (n *Node) noteLoad(now time.Time, state *backEndState) {
+func (n *Node) recordLoad(now time.Time, state *backEndState) {
 	state.at = now
 	report := &state.report
 	n.loads.Get(report.BackEnd).SetReport(report.Running+report.Waiting, report.Slots, now)
@@ -164,14 +164,14 @@
 		record.BackEnd = name
 		record.Leaving = leaving
 		if n.write(now, record, known.version, false) {
-			n.decide("placement", "Back end emptying changes.", "back_end", name, "leaving", leaving)
+			n.logDecision("placement", "Back end emptying changes.", "back_end", name, "leaving", leaving)
 		}
 		return
 	}
 	result := placement.Reconcile(known.placement, known.version, machine.ChecksFence, &state.report, n.loadSlots())
 	if result.RecordChanged {
 		if n.write(now, result.Record, known.version, false) {
-			n.decide("placement", "Memory released.", "back_end", name, "fence", state.report.Fence)
+			n.logDecision("placement", "Memory released.", "back_end", name, "fence", state.report.Fence)
 		}
 		return
 	}
@@ -198,30 +198,30 @@
 			continue
 		}
 		state.orders[key] = now
-		n.decide("placement", "Order sent.", "order", string(order.Kind), "artifact", order.Artifact.String(), "back_end", name, "fence", order.Fence)
-		n.do(SendOrder{BackEnd: name, Address: machine.Address, Order: order})
+		n.logDecision("placement", "Order sent.", "order", string(order.Kind), "artifact", order.Artifact.String(), "back_end", name, "fence", order.Fence)
+		n.emit(SendOrder{BackEnd: name, Address: machine.Address, Order: order})
 	}
 }
 
-// removeGoneRecords deletes records of machines that left the machine list.
-func (n *Node) removeGoneRecords(now time.Time) {
+// deleteOrphanRecords deletes records of machines that left the machine list.
+func (n *Node) deleteOrphanRecords(now time.Time) {
 	if now.Before(n.nextPlan) || len(n.catalog.machines) == 0 {
 		return
 	}
 	for _, name := range sortedNames(n.catalog.placements) {
 		known := n.catalog.placements[name]
 		key := api.Key{Kind: api.KindMachine, Name: name}
-		gone := n.store.Version(key) != 0 && n.catalog.machines[name].Name == ""
-		if !gone || known.version == 0 || !n.recordLives(name) || !n.actsForBackEnd(name, "") {
+		orphaned := n.store.Version(key) != 0 && n.catalog.machines[name].Name == ""
+		if !orphaned || known.version == 0 || !n.recordExists(name) || !n.actsForBackEnd(name, "") {
 			continue
 		}
 		if n.write(now, known.placement, known.version, true) {
-			n.decide("placement", "Record removed.", "back_end", name, "reason", "machine gone")
+			n.logDecision("placement", "Record removed.", "back_end", name, "reason", "machine gone")
 		}
 	}
 }
 
-func (n *Node) recordLives(name string) bool {
+func (n *Node) recordExists(name string) bool {
 	_, live := n.store.Get(api.Key{Kind: api.KindPlacement, Name: name})
 	return live
 }
--- a/control/catalog.go
+++ b/control/catalog.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// dropDuties forgets who acts for what, after the members have changed.
-func (c *catalog) dropDuties() {
+// invalidateDuties forgets who acts for what, after the members have changed.
+func (c *catalog) invalidateDuties() {
 	c.actingStale = true
 	c.plannedStale = true
 }
@@ -84,7 +84,7 @@
 }
 
 // learn decodes objects that changed and notes what depends on them.
-func (n *Node) learn(changed []api.Key) {
+func (n *Node) updateCatalog(changed []api.Key) {
 	if len(changed) == 0 {
 		return
 	}
@@ -92,8 +92,8 @@
 	machines := false
 	for _, key := range changed {
 		object, live := n.store.Get(key)
-		if err := n.catalog.take(object, live); err != nil {
-			n.decide("config", "Object ignored.", "object", key.String(), "version", object.Version, "error", err)
+		if err := n.catalog.apply(object, live); err != nil {
+			n.logDecision("config", "Object ignored.", "object", key.String(), "version", object.Version, "error", err)
 		}
 		machines = machines || key.Kind == api.KindMachine
 		n.catalog.plannedStale = n.catalog.plannedStale || key.Kind == api.KindModel
@@ -105,7 +105,7 @@
 	}
 }
 
-func (c *catalog) take(object api.Object, live bool) error {
+func (c *catalog) apply(object api.Object, live bool) error {
 	switch object.Kind {
 	case api.KindModel:
 		c.dirty[object.Name] = true
@@ -119,12 +119,12 @@
 		}
 		c.models[object.Name] = modelEntry{model: model}
 	case api.KindService:
-		return takeInto(c.services, object, live)
+		return applyInto(c.services, object, live)
 	case api.KindTenant:
-		return takeInto(c.tenants, object, live)
+		return applyInto(c.tenants, object, live)
 	case api.KindMachine:
 		c.markBackEnd(object.Name)
-		return takeInto(c.machines, object, live)
+		return applyInto(c.machines, object, live)
 	case api.KindPlacement:
 		if !live {
 			c.setPlacement(object.Name, placementEntry{
@@ -141,7 +141,7 @@
 	return nil
 }
 
-func takeInto[T any](known map[string]T, object api.Object, live bool) error {
+func applyInto[T any](known map[string]T, object api.Object, live bool) error {
 	if !live {
 		delete(known, object.Name)
 		return nil
--- a/control/inquiry.go
+++ b/control/fallbackpoll.go
@@ -9,27 +9,27 @@
 	"github.com/wheatweir/wheatweir/placement"
 )
 
-// inquiryState says whether this daemon asks the back ends that it sends to itself.
+// fallbackPollState says whether this daemon asks the back ends that it sends to itself.
 // While all daemons are well it relies on those that act for the back ends, whose
 // silence then means that nothing has changed. Asking at all times would cost a fleet
 // of 40 daemons more than twice the bytes of all other control traffic.
-type inquiryState struct {
+type fallbackPollState struct {
 	revision  uint64
 	live      int
 	suspected bool
-	// doubtedAt is when a daemon was last suspected or lost.
-	doubtedAt time.Time
+	// disruptedAt is when a daemon was last suspected or lost.
+	disruptedAt time.Time
 }
 
-// doubtTime is how long after the last sign here that a daemon is lost another one may
+// takeoverWindow is how long after the last sign here that a daemon is lost another one may
 // not have taken its duties over yet: the last of 40 daemons hears of a death 9 to 13 s
 // after it, most of which is suspicion.
-const doubtTime = 10 * time.Second
+const takeoverWindow = 10 * time.Second
 
-// noteDoubt takes in whether a daemon is suspected or was lost. Which one is of no
+// recordDisruption takes in whether a daemon is suspected or was lost. Which one is of no
 // matter: where one is lost, more may be that have not been missed yet.
-func (n *Node) noteDoubt(now time.Time) {
-	state := &n.inquiry
+func (n *Node) recordDisruption(now time.Time) {
+	state := &n.fallback
 	lost := false
 	if revision := n.detector.Revision(); state.revision != revision {
 		names := n.detector.Live()
@@ -37,7 +37,7 @@
 		state.revision, state.live, state.suspected = revision, len(names), n.anySuspected(names)
 	}
 	if lost || state.suspected {
-		state.doubtedAt = now
+		state.disruptedAt = now
 	}
 }
 
@@ -48,11 +48,11 @@
 	})
 }
 
-// tickInquiries asks the back ends that requests may be sent to and of which nothing
+// tickFallbackPolls asks the back ends that requests may be sent to and of which nothing
 // was heard for long, while there is doubt about the daemons that act for them.
-func (n *Node) tickInquiries(now time.Time) {
-	n.noteDoubt(now)
-	if n.inquiry.doubtedAt.IsZero() || now.Sub(n.inquiry.doubtedAt) >= doubtTime {
+func (n *Node) tickFallbackPolls(now time.Time) {
+	n.recordDisruption(now)
+	if n.fallback.disruptedAt.IsZero() || now.Sub(n.fallback.disruptedAt) >= takeoverWindow {
 		return
 	}
 	for _, model := range sortedNames(n.interest) {
@@ -64,8 +64,8 @@
 	}
 }
 
-// askOthers has a few other daemons poll a back end that gave this one no answer.
-func (n *Node) askOthers(name string) {
+// requestPolls has a few other daemons poll a back end that gave this one no answer.
+func (n *Node) requestPolls(name string) {
 	others := slices.DeleteFunc(slices.Clone(n.detector.Live()), func(other string) bool { return other == n.detector.Self().Name })
 	n.random.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	for _, other := range others[:min(len(others), n.settings.Member.Helpers)] {
@@ -75,41 +75,41 @@
 
 // asked polls a back end for another daemon. A poll that was made a moment ago is not
 // repeated; what it told is the answer.
-func (n *Node) asked(now time.Time, address, name string) {
+func (n *Node) handlePollRequest(now time.Time, address, name string) {
 	if _, found := n.catalog.machines[name]; !found {
 		return
 	}
 	n.pollIfDue(now, name)
 	state := n.backEnd(name)
-	if !slices.Contains(state.askers, address) {
-		state.askers = append(state.askers, address)
+	if !slices.Contains(state.requesters, address) {
+		state.requesters = append(state.requesters, address)
 	}
 	if !state.polling {
-		n.answerAskers(state)
+		n.answerRequesters(state)
 	}
 }
 
-// answerAskers passes the newest report on to the daemons that asked for it.
-func (n *Node) answerAskers(state *backEndState) {
-	for _, address := range state.askers {
+// answerRequesters passes the newest report on to the daemons that asked for it.
+func (n *Node) answerRequesters(state *backEndState) {
+	for _, address := range state.requesters {
 		if state.known {
 			n.send(address, Message{Reports: []api.Report{state.report}})
 		}
 	}
-	state.askers = nil
+	state.requesters = nil
 }
 
-// passOnLeaving tells the group that a back end that this daemon acts for is leaving,
+// propagateLeaving tells the group that a back end that this daemon acts for is leaving,
 // as it hears from one that polled it. That it is up is told only by own polls: this
 // daemon's orders may not reach it.
-func (n *Node) passOnLeaving(now time.Time, name string) {
+func (n *Node) propagateLeaving(now time.Time, name string) {
 	state := n.backEnd(name)
 	machine, found := n.catalog.machines[name]
 	if !found || !state.report.Leaving || !n.actsForBackEnd(name, machine.Zone) {
 		return
 	}
-	if news, heard := n.detector.BackEnd(name); heard && news.State == member.BackEndUp {
+	if entry, observed := n.detector.BackEnd(name); observed && entry.State == member.BackEndUp {
 		n.observeHealth(&state.report)
-		n.shareReport(now, name, state)
+		n.distributeReport(now, name, state)
 	}
 }
--- a/control/inquiry_test.go
+++ b/control/fallbackpoll_test.go
@@ -13,16 +13,16 @@
 	"github.com/wheatweir/wheatweir/replica"
 )
 
-// besides drives one node beside another daemon, which alone is in the zone of the
+// peerFixture drives one node beside another daemon, which nodeFixture is in the zone of the
 // only engine and so acts for it.
-type besides struct {
-	*alone
-	heard uint64
+type peerFixture struct {
+	*nodeFixture
+	sequence uint64
 }
 
-func newBesides() *besides {
-	b := &besides{alone: newAlone()}
-	b.hear(control.Message{})
+func newPeerFixture() *peerFixture {
+	b := &peerFixture{nodeFixture: newNodeFixture()}
+	b.receive(control.Message{})
 	machine := api.Machine{Name: "e", Role: api.RoleEngine, Zone: "far", State: api.MachineLive, MemoryBytes: 100}
 	model := api.Model{Name: "m", Serving: "v1", Versions: []api.Version{{Name: "v1", Bytes: 10}}, MinReplicas: 1}
 	record := api.Placement{BackEnd: "e", Entries: []api.PlacementEntry{{Artifact: api.Artifact{Model: "m", Version: "v1"}, Phase: api.PhaseHeld}}}
@@ -31,49 +31,49 @@
 		{Key: api.Key{Kind: api.KindModel, Name: "m"}, Version: 2, Value: api.Encode(model)},
 		{Key: api.Key{Kind: api.KindPlacement, Name: "e"}, Version: 3, Value: api.Encode(record)},
 	}}})
-	b.hear(control.Message{Reports: []api.Report{b.report()}})
+	b.receive(control.Message{Reports: []api.Report{b.report()}})
 	return b
 }
 
 // report returns the engine's next report.
-func (b *besides) report() api.Report {
-	b.heard++
-	return api.Report{BackEnd: "e", Boot: "b", Sequence: b.heard, Slots: 4, Residents: []api.Artifact{{Model: "m", Version: "v1"}}}
+func (b *peerFixture) report() api.Report {
+	b.sequence++
+	return api.Report{BackEnd: "e", Boot: "b", Sequence: b.sequence, Slots: 4, Residents: []api.Artifact{{Model: "m", Version: "v1"}}}
 }
 
-// load returns the engine's next report of load alone.
-func (b *besides) load() control.LoadReport {
-	b.heard++
-	return control.LoadReport{BackEnd: "e", BootHash: uint32(xxhash.Sum64String("b")), Sequence: b.heard, Running: 1}
+// load returns the engine's next report of load nodeFixture.
+func (b *peerFixture) load() control.LoadReport {
+	b.sequence++
+	return control.LoadReport{BackEnd: "e", BootHash: uint32(xxhash.Sum64String("b")), Sequence: b.sequence, Running: 1}
 }
 
 // hear gives the node a message of the other daemon, which shows that the engine is up.
-func (b *besides) hear(message control.Message, members ...member.Member) {
+func (b *peerFixture) receive(message control.Message, members ...member.Member) {
 	message.Probe = &member.Message{Kind: member.Ping, Members: members}
 	b.send(message)
 }
 
-func (b *besides) send(message control.Message) []control.Action {
+func (b *peerFixture) send(message control.Message) []control.Action {
 	message.From = "other"
 	message.Probe.Sender = member.Member{Name: "o", Zone: "far", PeerAddress: "other", Incarnation: 1}
 	message.Probe.BackEnds = []member.BackEnd{{Name: "e", Boot: "b", Change: 1, State: member.BackEndUp}}
 	return b.node.Receive(b.now, message)
 }
 
-// hearOfThird gives the node news of a third daemon.
-func (b *besides) hearOfThird(state member.State) {
+// receiveThird gives the node news of a third daemon.
+func (b *peerFixture) receiveThird(state member.State) {
 	third := member.Member{Name: "t", Zone: "third", PeerAddress: "third", Incarnation: 1, State: state}
-	b.hear(control.Message{}, third)
+	b.receive(control.Message{}, third)
 }
 
 // run lets time pass in which callers use the model or not, and returns the polls.
-func (b *besides) run(span time.Duration, inUse bool) []control.Poll {
+func (b *peerFixture) run(span time.Duration, inUse bool) []control.Poll {
 	var polls []control.Poll
 	for end := b.now.Add(span); b.now.Before(end); {
 		if inUse {
 			b.node.Interested(b.now, "m")
 		}
-		for _, action := range tick[control.Action](b.alone, 100*time.Millisecond) {
+		for _, action := range tick[control.Action](b.nodeFixture, 100*time.Millisecond) {
 			switch action := action.(type) {
 			case control.Poll:
 				polls = append(polls, action)
@@ -86,25 +86,25 @@
 }
 
 // acknowledge answers the node's probes of the other daemon, which is well.
-func (b *besides) acknowledge(sent control.SendPeer) {
+func (b *peerFixture) acknowledge(sent control.SendPeer) {
 	if probe := sent.Message.Probe; sent.Address == "other" && probe != nil && probe.Kind == member.Ping {
 		b.send(control.Message{Probe: &member.Message{Kind: member.Ack, Sequence: probe.Sequence}})
 	}
 }
 
-func (b *besides) candidates() int { return len(b.node.Table(b.now).Models["m"].Candidates) }
+func (b *peerFixture) candidates() int { return len(b.node.Table(b.now).Models["m"].Candidates) }
 
-// newsAge is the age of news from which on an engine is asked.
-var newsAge = control.DefaultSettings().NewsAge
+// pollAge is the age of news from which on an engine is asked.
+var pollAge = control.DefaultSettings().NewsAge
 
 // TestEngineIsAskedOnlyInDoubt covers the calm: a daemon whose others are all well
 // relies on the one that acts for the engine, however old the news is.
 func TestEngineIsAskedOnlyInDoubt(t *testing.T) {
-	b := newBesides()
+	b := newPeerFixture()
 	if polls := b.run(20*time.Second, true); len(polls) != 0 {
 		t.Fatalf("%d polls without doubt", len(polls))
 	}
-	b.hearOfThird(member.Suspect)
+	b.receiveThird(member.Suspect)
 	if polls := b.run(200*time.Millisecond, true); len(polls) != 1 || polls[0].BackEnd != "e" {
 		t.Fatalf("polls %v once a daemon is suspected", polls)
 	}
@@ -119,14 +119,14 @@
 	}
 }
 
-// TestEngineIsAskedAfterALoss covers a daemon whose death is heard of at once, and the
+// TestEngineIsAskedAfterALoss covers a daemon whose death is informed of at once, and the
 // end of the doubt once its duties have surely been taken over.
 func TestEngineIsAskedAfterALoss(t *testing.T) {
-	b := newBesides()
-	b.run(newsAge, true)
-	b.hearOfThird(member.Alive)
+	b := newPeerFixture()
+	b.run(pollAge, true)
+	b.receiveThird(member.Alive)
 	b.run(200*time.Millisecond, true)
-	b.hearOfThird(member.Dead)
+	b.receiveThird(member.Dead)
 	polls := b.run(200*time.Millisecond, true)
 	if len(polls) != 1 {
 		t.Fatalf("%d polls after a loss", len(polls))
@@ -143,30 +143,30 @@
 }
 
 // TestNewsKeepsAnEngineFromBeingAsked covers the three ways to hear of an engine: a
-// whole report, load alone, and the answer to an own poll.
+// whole report, load nodeFixture, and the answer to an own poll.
 func TestNewsKeepsAnEngineFromBeingAsked(t *testing.T) {
-	b := newBesides()
-	b.hearOfThird(member.Suspect)
-	for round, tell := range []func(){
-		func() { b.hear(control.Message{Reports: []api.Report{b.report()}}) },
-		func() { b.hear(control.Message{Loads: []control.LoadReport{b.load()}}) },
+	b := newPeerFixture()
+	b.receiveThird(member.Suspect)
+	for round, deliver := range []func(){
+		func() { b.receive(control.Message{Reports: []api.Report{b.report()}}) },
+		func() { b.receive(control.Message{Loads: []control.LoadReport{b.load()}}) },
 		func() { b.node.PollAnswered(b.now, control.PollAnswer{BackEnd: "e", Report: b.report()}) },
 	} {
-		if polls := b.run(newsAge*3/4, true); len(polls) != 0 {
+		if polls := b.run(pollAge*3/4, true); len(polls) != 0 {
 			t.Fatalf("round %d: %d polls", round, len(polls))
 		}
-		tell()
+		deliver()
 	}
-	if polls := b.run(newsAge*3/4, true); len(polls) != 0 {
+	if polls := b.run(pollAge*3/4, true); len(polls) != 0 {
 		t.Fatalf("%d polls after an answer", len(polls))
 	}
 }
 
 // TestEngineNotInUseIsNotAsked covers a daemon whose callers do not use the model.
 func TestEngineNotInUseIsNotAsked(t *testing.T) {
-	b := newBesides()
-	b.hearOfThird(member.Suspect)
-	if polls := b.run(2*newsAge, false); len(polls) != 0 {
+	b := newPeerFixture()
+	b.receiveThird(member.Suspect)
+	if polls := b.run(2*pollAge, false); len(polls) != 0 {
 		t.Fatalf("%d polls of an engine that nobody here uses", len(polls))
 	}
 }
@@ -174,34 +174,34 @@
 // TestFailedPollsOfOthersAreNoVerdict covers a daemon that cannot reach an engine that
 // another one acts for: it asks again, and does not hold the engine for down.
 func TestFailedPollsOfOthersAreNoVerdict(t *testing.T) {
-	b := newBesides()
-	asked := 0
+	b := newPeerFixture()
+	polled := 0
 	for range 10 {
-		b.hearOfThird(member.Suspect)
+		b.receiveThird(member.Suspect)
 		for range b.run(time.Second, true) {
-			asked++
+			polled++
 			b.node.PollAnswered(b.now, control.PollAnswer{BackEnd: "e", Err: control.CallUnknown})
 		}
 	}
-	if asked <= control.DefaultSettings().PollFailures || b.candidates() != 1 {
-		t.Fatalf("asked %d times, %d candidates", asked, b.candidates())
+	if polled <= control.DefaultSettings().PollFailures || b.candidates() != 1 {
+		t.Fatalf("asked %d times, %d candidates", polled, b.candidates())
 	}
 }
 
-// newNear returns a node that acts for the engine itself, which is in its own zone.
-func newNear() *besides {
-	b := &besides{alone: newAlone()}
-	b.hear(control.Message{})
-	tick[control.Write](b.alone, time.Second)
-	b.learn()
-	b.heard = 1
+// newLocalFixture returns a node that acts for the engine itself, which is in its own zone.
+func newLocalFixture() *peerFixture {
+	b := &peerFixture{nodeFixture: newNodeFixture()}
+	b.receive(control.Message{})
+	tick[control.Write](b.nodeFixture, time.Second)
+	b.addModelAndEngine()
+	b.sequence = 1
 	return b
 }
 
 // sent returns what the node sends to the other daemon within a span.
-func (b *besides) sent(span time.Duration) []control.Message {
+func (b *peerFixture) sent(span time.Duration) []control.Message {
 	var messages []control.Message
-	for _, action := range tick[control.SendPeer](b.alone, span) {
+	for _, action := range tick[control.SendPeer](b.nodeFixture, span) {
 		b.acknowledge(action)
 		messages = append(messages, action.Message)
 	}
@@ -209,7 +209,7 @@
 }
 
 // asks counts the messages among actions that ask for the engine.
-func asks(actions []control.Action) int {
+func countPollRequests(actions []control.Action) int {
 	count := 0
 	for _, action := range actions {
 		if sent, ok := action.(control.SendPeer); ok && slices.Equal(sent.Message.Ask, []string{"e"}) {
@@ -222,31 +222,31 @@
 // TestOthersAreAskedWhenAnEngineGivesNoAnswer covers the daemon that acts for an
 // engine and is cut off from it: others poll it instead, until it is held for down.
 func TestOthersAreAskedWhenAnEngineGivesNoAnswer(t *testing.T) {
-	b := newNear()
+	b := newLocalFixture()
 	failed := control.PollAnswer{BackEnd: "e", Err: control.CallUnknown}
 	for failure := 1; failure < control.DefaultSettings().PollFailures; failure++ {
-		if count := asks(b.node.PollAnswered(b.now, failed)); count != 1 {
+		if count := countPollRequests(b.node.PollAnswered(b.now, failed)); count != 1 {
 			t.Fatalf("failure %d: %d messages to one other daemon", failure, count)
 		}
 	}
-	if count := asks(b.node.PollAnswered(b.now, failed)); count != 0 {
+	if count := countPollRequests(b.node.PollAnswered(b.now, failed)); count != 0 {
 		t.Fatalf("%d messages about an engine that is held for down", count)
 	}
 }
 
 // TestLeavingIsPassedOnFromAnotherDaemon covers the answer of the daemon that was asked.
 func TestLeavingIsPassedOnFromAnotherDaemon(t *testing.T) {
-	b := newNear()
+	b := newLocalFixture()
 	b.node.PollAnswered(b.now, control.PollAnswer{BackEnd: "e", Err: control.CallUnknown})
 	report := b.report()
 	report.Leaving = true
-	b.hear(control.Message{Reports: []api.Report{report}})
+	b.receive(control.Message{Reports: []api.Report{report}})
 	for _, message := range b.sent(3 * time.Second) {
 		if message.Probe == nil {
 			continue
 		}
-		for _, news := range message.Probe.BackEnds {
-			if news.Name == "e" && news.State == member.BackEndLeaving {
+		for _, entry := range message.Probe.BackEnds {
+			if entry.Name == "e" && entry.State == member.BackEndLeaving {
 				return
 			}
 		}
@@ -257,8 +257,8 @@
 // TestDaemonPollsForAnother covers the daemon that is asked. A second question a moment
 // later is answered with what the first poll told.
 func TestDaemonPollsForAnother(t *testing.T) {
-	b := newBesides()
-	question := func() []control.Action {
+	b := newPeerFixture()
+	request := func() []control.Action {
 		return b.send(control.Message{Ask: []string{"e"}, Probe: &member.Message{Kind: member.Ping}})
 	}
 	answers := func(actions []control.Action) (reports, polls int) {
@@ -274,17 +274,17 @@
 		}
 		return reports, polls
 	}
-	if reports, polls := answers(question()); reports != 0 || polls != 1 {
+	if reports, polls := answers(request()); reports != 0 || polls != 1 {
 		t.Fatalf("%d reports and %d polls at the first question", reports, polls)
 	}
-	if reports, polls := answers(question()); reports != 0 || polls != 0 {
+	if reports, polls := answers(request()); reports != 0 || polls != 0 {
 		t.Fatalf("%d reports and %d polls while the poll is under way", reports, polls)
 	}
 	done := b.node.PollAnswered(b.now, control.PollAnswer{BackEnd: "e", Report: b.report()})
 	if reports, _ := answers(done); reports != 1 {
 		t.Fatalf("%d reports for one daemon that asked twice", reports)
 	}
-	if reports, polls := answers(question()); reports != 1 || polls != 0 {
+	if reports, polls := answers(request()); reports != 1 || polls != 0 {
 		t.Fatalf("%d reports and %d polls a moment later", reports, polls)
 	}
 }
--- a/control/join.go
+++ b/control/join.go
@@ -5,19 +5,19 @@
 // joinState is how far a daemon has come that has just started, or that was
 // paused and cannot know what it missed.
 type joinState struct {
-	began    time.Time
-	lastTick time.Time
-	heard    uint64
-	caughtUp bool
+	startedAt      time.Time
+	lastTick       time.Time
+	maxPeerVersion uint64
+	caughtUp       bool
 }
 
 const (
-	// aloneFactor times JoinWait is how long a daemon that hears no other waits
+	// aloneWaitFactor times JoinWait is how long a daemon that hears no other waits
 	// before it relies on what the platform alone told it.
-	aloneFactor = 3
-	// silentFactor times JoinWait is how long a daemon waits for news of every engine:
+	aloneWaitFactor = 3
+	// engineWaitFactor times JoinWait is how long a daemon waits for news of every engine:
 	// one that never answers anybody must not keep it from serving by the others.
-	silentFactor = 6
+	engineWaitFactor = 6
 )
 
 // tickJoin decides when this daemon knows enough to serve. A daemon that has
@@ -25,8 +25,8 @@
 // it waits until it has all that the others had when it joined. One that finds
 // that it was paused starts over.
 func (n *Node) tickJoin(now time.Time) {
-	if n.join.began.IsZero() || now.Sub(n.join.lastTick) > n.settings.PauseLimit {
-		n.join.began = now
+	if n.join.startedAt.IsZero() || now.Sub(n.join.lastTick) > n.settings.PauseLimit {
+		n.join.startedAt = now
 		n.join.caughtUp = false
 	}
 	n.join.lastTick = now
@@ -35,15 +35,15 @@
 	}
 	wait := n.settings.JoinWait
 	if len(n.detector.Live()) == 1 {
-		wait *= aloneFactor
+		wait *= aloneWaitFactor
 	}
-	joined := now.Sub(n.join.began)
+	elapsed := now.Sub(n.join.startedAt)
 	through := n.store.Through()
 	engines, unknown := len(n.catalog.engineNames()), n.unknownEngines()
-	informed := unknown == 0 || joined >= silentFactor*n.settings.JoinWait
-	n.join.caughtUp = joined >= wait && informed && through > 0 && through >= n.join.heard
+	enginesObserved := unknown == 0 || elapsed >= engineWaitFactor*n.settings.JoinWait
+	n.join.caughtUp = elapsed >= wait && enginesObserved && through > 0 && through >= n.join.maxPeerVersion
 	if n.join.caughtUp {
-		n.decide("membership", "Caught up with the cluster.", "after_ms", joined.Milliseconds(), "through", through,
+		n.logDecision("membership", "Caught up with the cluster.", "after_ms", elapsed.Milliseconds(), "through", through,
 			"engines", engines, "engines_unknown", unknown)
 	}
 }
@@ -53,7 +53,7 @@
 func (n *Node) unknownEngines() int {
 	unknown := 0
 	for _, name := range n.catalog.engineNames() {
-		if _, heard := n.detector.BackEnd(name); !heard {
+		if _, observed := n.detector.BackEnd(name); !observed {
 			unknown++
 		}
 	}
--- a/control/leave.go
+++ b/control/leave.go
@@ -11,24 +11,24 @@
 	leaving bool
 	// told holds the members that have acknowledged a message sent after the
 	// stop began; such a message carries the news.
-	told map[string]bool
+	acknowledged map[string]bool
 	// next is when those that have not are told again.
 	next time.Time
-	// knownSince is when all live members were first known to know.
-	knownSince time.Time
+	// acknowledgedSince is when all live members were first known to know.
+	acknowledgedSince time.Time
 }
 
-// leaveRepeat is the time between two rounds of telling.
-const leaveRepeat = time.Second
+// leaveResendInterval is the time between two rounds of telling.
+const leaveResendInterval = time.Second
 
 // Leave begins a planned stop: every live member is told, so that none names
 // this daemon to callers any more.
 func (n *Node) Leave() []Action {
 	if !n.leave.leaving {
-		n.leave = leaveState{leaving: true, told: map[string]bool{}}
+		n.leave = leaveState{leaving: true, acknowledged: map[string]bool{}}
 		n.detector.Leave()
 	}
-	return n.take()
+	return n.takeActions()
 }
 
 // tickLeave tells the live members that have not acknowledged yet.
@@ -39,7 +39,7 @@
 	missing := false
 	due := !now.Before(n.leave.next)
 	for _, name := range n.detector.Live() {
-		if name == n.detector.Self().Name || n.leave.told[name] {
+		if name == n.detector.Self().Name || n.leave.acknowledged[name] {
 			continue
 		}
 		missing = true
@@ -48,28 +48,28 @@
 		}
 	}
 	if due {
-		n.leave.next = now.Add(leaveRepeat)
+		n.leave.next = now.Add(leaveResendInterval)
 	}
 	switch {
 	case missing:
-		n.leave.knownSince = time.Time{}
-	case n.leave.knownSince.IsZero():
-		n.leave.knownSince = now
+		n.leave.acknowledgedSince = time.Time{}
+	case n.leave.acknowledgedSince.IsZero():
+		n.leave.acknowledgedSince = now
 	}
 }
 
-// noteLeaveAck notes that a member has answered since the stop began.
-func (n *Node) noteLeaveAck(message *member.Message) {
+// recordLeaveAck notes that a member has answered since the stop began.
+func (n *Node) recordLeaveAck(message *member.Message) {
 	if n.leave.leaving && message.Kind == member.Ack && message.KnowsLeaving {
-		n.leave.told[message.Sender.Name] = true
+		n.leave.acknowledged[message.Sender.Name] = true
 	}
 }
 
 // LeaveKnownFor returns how long all live members have known that this daemon
 // is leaving; zero if some do not.
 func (n *Node) LeaveKnownFor(now time.Time) time.Duration {
-	if n.leave.knownSince.IsZero() {
+	if n.leave.acknowledgedSince.IsZero() {
 		return 0
 	}
-	return now.Sub(n.leave.knownSince)
+	return now.Sub(n.leave.acknowledgedSince)
 }
--- a/control/node.go
+++ b/control/node.go
@@ -14,18 +14,18 @@
 
 // Node is the control plane of one daemon. It is not safe for concurrent use.
 type Node struct {
-	settings Settings
-	random   *rand.Rand
-	detector *member.Detector
-	store    *replica.Store
-	catalog  *catalog
-	duties   duties
-	backEnds map[string]*backEndState
-	watch    watchState
-	spread   spreadState
-	writes   writeState
-	demand   demandState
-	interest map[string]*interest
+	settings    Settings
+	random      *rand.Rand
+	detector    *member.Detector
+	store       *replica.Store
+	catalog     *catalog
+	duties      duties
+	backEnds    map[string]*backEndState
+	watch       watchState
+	propagation propagationState
+	writes      writeState
+	demand      demandState
+	interest    map[string]*interest
 	// subscribers holds, for each model, the peer addresses that want the load
 	// of its back ends, and until when.
 	subscribers map[string]map[string]time.Time
@@ -39,7 +39,7 @@
 	actions     []Action
 	join        joinState
 	leave       leaveState
-	inquiry     inquiryState
+	fallback    fallbackPollState
 	// revision changes with everything that routing depends on.
 	revision uint64
 }
@@ -72,7 +72,7 @@
 	node.demand.local = map[string]*localDemand{}
 	node.demand.remote = map[string]map[string]remoteDemand{}
 	node.demand.totals = map[string]*modelAverages{}
-	node.spread.peerThrough = map[string]uint64{}
+	node.propagation.peerThrough = map[string]uint64{}
 	return node
 }
 
@@ -87,7 +87,7 @@
 
 // SetSeeds names peer addresses to join through, besides the machine list.
 func (n *Node) SetSeeds(addresses []string) {
-	n.spread.configuredSeeds = addresses
+	n.propagation.configuredSeeds = addresses
 	n.updateSeeds()
 }
 
@@ -101,7 +101,7 @@
 	n.tickLeave(now)
 	n.tickWatch(now)
 	n.tickPolls(now)
-	n.tickInquiries(now)
+	n.tickFallbackPolls(now)
 	n.tickSubscriptions(now)
 	n.tickDemand(now)
 	n.tickWrites(now)
@@ -109,8 +109,8 @@
 		n.nextPlan = now.Add(n.jitter(n.settings.PlanInterval))
 		n.plan(now)
 	}
-	n.tickSpread()
-	return n.take()
+	n.tickPropagation()
+	return n.takeActions()
 }
 
 // Receive takes in a message from another daemon.
@@ -120,30 +120,30 @@
 			n.sendProbe(packet)
 		}
 		n.refreshDuties()
-		n.noteLeaveAck(message.Probe)
+		n.recordLeaveAck(message.Probe)
 	}
 	if message.Delta != nil {
-		n.learn(n.store.Apply(*message.Delta))
+		n.updateCatalog(n.store.Apply(*message.Delta))
 	}
-	n.exchange(message)
+	n.syncWithPeer(message)
 	for _, report := range message.Reports {
-		if n.takeReport(now, report) {
-			n.passOnLeaving(now, report.BackEnd)
+		if n.mergeReport(now, report) {
+			n.propagateLeaving(now, report.BackEnd)
 		}
 	}
 	for _, name := range message.Ask {
-		n.asked(now, message.From, name)
+		n.handlePollRequest(now, message.From, name)
 	}
 	for _, load := range message.Loads {
-		n.takeLoad(now, load)
+		n.mergeLoad(now, load)
 	}
 	for _, model := range message.Subscribe {
-		n.subscribed(now, message.From, model)
+		n.addSubscriber(now, message.From, model)
 	}
 	for _, demand := range message.Demand {
-		n.takeDemand(now, demand)
+		n.mergeDemand(now, demand)
 	}
-	return n.take()
+	return n.takeActions()
 }
 
 // jitter returns a duration between 0.75 and 1.25 times the given one.
@@ -151,16 +151,16 @@
 	return duration*3/4 + time.Duration(n.random.Int64N(int64(duration/2)+1))
 }
 
-func (n *Node) do(action Action) { n.actions = append(n.actions, action) }
+func (n *Node) emit(action Action) { n.actions = append(n.actions, action) }
 
-func (n *Node) take() []Action {
+func (n *Node) takeActions() []Action {
 	taken := n.actions
 	n.actions = nil
 	return taken
 }
 
-func (n *Node) decide(part, text string, fields ...any) {
-	n.do(Decision{Part: part, Text: text, Fields: fields})
+func (n *Node) logDecision(part, text string, fields ...any) {
+	n.emit(Decision{Part: part, Text: text, Fields: fields})
 }
 
 func (n *Node) sendProbe(packet member.Packet) {
@@ -171,7 +171,7 @@
 func (n *Node) send(address string, message Message) {
 	message.From = n.detector.Self().PeerAddress
 	message.Through = n.store.Through()
-	n.do(SendPeer{Address: address, Message: message})
+	n.emit(SendPeer{Address: address, Message: message})
 }
 
 // refreshDuties works out anew who does what when the members have changed.
@@ -198,7 +198,7 @@
 	slices.Sort(fresh.zones)
 	fresh.zonePeers = byZone[n.detector.Self().Zone]
 	n.duties = fresh
-	n.catalog.dropDuties()
+	n.catalog.invalidateDuties()
 	n.revision++
 }
 
--- a/control/node_test.go
+++ b/control/node_test.go
@@ -11,20 +11,20 @@
 	"github.com/wheatweir/wheatweir/replica"
 )
 
-// alone drives one node that hears no other daemon.
-type alone struct {
+// nodeFixture drives one node that hears no other daemon.
+type nodeFixture struct {
 	node *control.Node
 	now  time.Time
 }
 
-func newAlone() *alone {
+func newNodeFixture() *nodeFixture {
 	now := time.Unix(1000, 0)
 	self := member.Member{Name: "d", Zone: "z", PeerAddress: "peer", Incarnation: 1}
-	return &alone{node: control.New(self, control.DefaultSettings(), rand.New(rand.NewPCG(1, 1))), now: now}
+	return &nodeFixture{node: control.New(self, control.DefaultSettings(), rand.New(rand.NewPCG(1, 1))), now: now}
 }
 
 // tick runs the node for a span and returns the actions of one type.
-func tick[T control.Action](a *alone, span time.Duration) []T {
+func tick[T control.Action](a *nodeFixture, span time.Duration) []T {
 	var found []T
 	for end := a.now.Add(span); a.now.Before(end); a.now = a.now.Add(100 * time.Millisecond) {
 		for _, action := range a.node.Tick(a.now) {
@@ -37,7 +37,7 @@
 }
 
 // learn gives the node a model, an engine and the engine's report.
-func (a *alone) learn() {
+func (a *nodeFixture) addModelAndEngine() {
 	machine := api.Machine{Name: "e", Role: api.RoleEngine, Zone: "z", State: api.MachineLive, MemoryBytes: 100, ChecksFence: true}
 	model := api.Model{Name: "m", Serving: "v1", Versions: []api.Version{{Name: "v1", Bytes: 10}}, MinReplicas: 1}
 	a.node.ChangesAnswered(a.now, control.ChangesAnswer{Delta: replica.Delta{Through: 2, Objects: []api.Object{
@@ -48,9 +48,9 @@
 }
 
 func TestAmbiguousWriteIsReadBackBeforeTheNext(t *testing.T) {
-	a := newAlone()
+	a := newNodeFixture()
 	tick[control.Write](a, time.Second)
-	a.learn()
+	a.addModelAndEngine()
 	writes := tick[control.Write](a, 3*time.Second)
 	if len(writes) != 1 {
 		t.Fatalf("%d writes before the first was answered", len(writes))
@@ -73,9 +73,9 @@
 }
 
 func TestPausedNodeCatchesUpBeforeItServes(t *testing.T) {
-	a := newAlone()
+	a := newNodeFixture()
 	tick[control.Write](a, time.Second)
-	a.learn()
+	a.addModelAndEngine()
 	tick[control.Write](a, 10*time.Second)
 	if !a.node.CaughtUp(a.now) {
 		t.Fatal("a node that is alone never caught up")
@@ -91,10 +91,10 @@
 }
 
 // TestNodeServesOnceItHasNewsOfTheEngines covers a daemon that has its catalog and has
-// waited long enough, but has not heard yet whether the engine is up: it would refuse
-// every request. An engine of which nothing is ever heard holds it up for a while only.
+// waited long enough, but has not informed yet whether the engine is up: it would refuse
+// every request. An engine of which nothing is ever informed holds it up for a while only.
 func TestNodeServesOnceItHasNewsOfTheEngines(t *testing.T) {
-	a := newAlone()
+	a := newNodeFixture()
 	machine := api.Machine{Name: "e", Role: api.RoleEngine, Zone: "z", State: api.MachineLive, MemoryBytes: 100}
 	tick[control.Write](a, time.Second)
 	a.node.ChangesAnswered(a.now, control.ChangesAnswer{Delta: replica.Delta{Through: 2, Objects: []api.Object{
@@ -104,11 +104,11 @@
 	if a.node.CaughtUp(a.now) {
 		t.Fatal("a node without news of the engine claims to be caught up")
 	}
-	heard := newAlone()
-	tick[control.Write](heard, time.Second)
-	heard.learn()
-	tick[control.Write](heard, 8*time.Second)
-	if !heard.node.CaughtUp(heard.now) {
+	informed := newNodeFixture()
+	tick[control.Write](informed, time.Second)
+	informed.addModelAndEngine()
+	tick[control.Write](informed, 8*time.Second)
+	if !informed.node.CaughtUp(informed.now) {
 		t.Fatal("a node with news of the engine does not serve")
 	}
 	tick[control.Write](a, 5*time.Second)
@@ -118,9 +118,9 @@
 }
 
 func TestLeavingBackEndIsNoCandidate(t *testing.T) {
-	a := newAlone()
+	a := newNodeFixture()
 	tick[control.Write](a, time.Second)
-	a.learn()
+	a.addModelAndEngine()
 	writes := tick[control.Write](a, 2*time.Second)
 	stored := writes[0].Object
 	stored.Version = 3
--- a/control/planning.go
+++ b/control/planning.go
@@ -15,29 +15,29 @@
 	at    time.Time
 }
 
-func (a *average) add(now time.Time, sample float64, span time.Duration) {
+func (a *average) add(now time.Time, sample float64, timeConstant time.Duration) {
 	if a.at.IsZero() {
 		a.value, a.at = sample, now
 		return
 	}
-	keep := math.Exp(-now.Sub(a.at).Seconds() / span.Seconds())
+	keep := math.Exp(-now.Sub(a.at).Seconds() / timeConstant.Seconds())
 	a.value = a.value*keep + sample*(1-keep)
 	a.at = now
 }
 
 const (
-	fastSpan = 4 * time.Second
-	slowSpan = 2 * time.Minute
-	// remoteDemandAge is how long another daemon's demand counts.
-	remoteDemandAge = 25 * time.Second
-	// demandRefresh is how long an unchanged demand is not sent again.
-	demandRefresh = 10 * time.Second
-	// demandChange is the change that is sent at once, as a share of the last,
-	// and demandStep the least such change in requests.
-	demandChange = 0.25
-	demandStep   = 1.0
-	// demandFloor is the demand under which nothing is reported.
-	demandFloor = 0.01
+	fastTimeConstant = 4 * time.Second
+	slowTimeConstant = 2 * time.Minute
+	// remoteDemandTTL is how long another daemon's demand counts.
+	remoteDemandTTL = 25 * time.Second
+	// demandRefreshInterval is how long an unchanged demand is not sent again.
+	demandRefreshInterval = 10 * time.Second
+	// minDemandChangeShare is the change that is sent at once, as a share of the last,
+	// and minDemandChange the least such change in requests.
+	minDemandChangeShare = 0.25
+	minDemandChange      = 1.0
+	// minReportedDemand is the demand under which nothing is reported.
+	minReportedDemand = 0.01
 )
 
 // demandState holds the demand seen here and, for models that this daemon
@@ -58,11 +58,11 @@
 
 // due reports whether the demand is worth a message.
 func (d *localDemand) due(now time.Time) bool {
-	if now.Sub(d.sentAt) >= demandRefresh || d.value < demandFloor {
+	if now.Sub(d.sentAt) >= demandRefreshInterval || d.value < minReportedDemand {
 		return true
 	}
 	change := math.Abs(d.value - d.sent)
-	return change >= demandStep && change >= demandChange*d.sent
+	return change >= minDemandChange && change >= minDemandChangeShare*d.sent
 }
 
 type remoteDemand struct {
@@ -100,7 +100,7 @@
 		known.sent, known.sentAt = known.value, now
 		owner := n.modelOwner(model)
 		demand := ModelDemand{Daemon: self, Model: model, Requests: known.value}
-		if known.value < demandFloor {
+		if known.value < minReportedDemand {
 			demand.Requests = 0
 			delete(n.demand.local, model)
 		}
@@ -116,12 +116,12 @@
 			continue
 		}
 		for _, demand := range demands {
-			n.takeDemand(now, demand)
+			n.mergeDemand(now, demand)
 		}
 	}
 }
 
-func (n *Node) takeDemand(now time.Time, demand ModelDemand) {
+func (n *Node) mergeDemand(now time.Time, demand ModelDemand) {
 	byDaemon := n.demand.remote[demand.Model]
 	if byDaemon == nil {
 		byDaemon = map[string]remoteDemand{}
@@ -135,7 +135,7 @@
 	total := 0.0
 	for _, daemon := range sortedNames(n.demand.remote[model]) {
 		demand := n.demand.remote[model][daemon]
-		if now.Sub(demand.at) > remoteDemandAge {
+		if now.Sub(demand.at) > remoteDemandTTL {
 			delete(n.demand.remote[model], daemon)
 			continue
 		}
@@ -146,15 +146,15 @@
 		averages = &modelAverages{}
 		n.demand.totals[model] = averages
 	}
-	averages.fast.add(now, total, fastSpan)
-	averages.slow.add(now, total, slowSpan)
+	averages.fast.add(now, total, fastTimeConstant)
+	averages.slow.add(now, total, slowTimeConstant)
 	return placement.Demand{Fast: averages.fast.value, Slow: averages.slow.value}
 }
 
 // plan runs the planner for the models that this daemon plans.
 func (n *Node) plan(now time.Time) {
 	models := n.planningFor()
-	if len(models) == 0 || n.writes.tokens < 1 || now.Before(n.writes.paused) {
+	if len(models) == 0 || n.writes.tokens < 1 || now.Before(n.writes.backoffUntil) {
 		return
 	}
 	snapshot := placement.Snapshot{Now: now, Settings: n.settings.Placement}
@@ -164,7 +164,7 @@
 			Model: entry.model, Deleted: entry.deleted, Demand: n.modelDemand(now, name),
 		})
 	}
-	n.noteLostZones(now)
+	n.updateLostZones(now)
 	snapshot.BackEnds = n.plannedBackEnds(now)
 	n.execute(now, placement.Plan(snapshot))
 }
@@ -192,8 +192,8 @@
 // nil. What an earlier boot reported is no longer there.
 func (n *Node) currentReport(name string) *api.Report {
 	state := n.backEnds[name]
-	news, heard := n.detector.BackEnd(name)
-	if state == nil || !state.known || !heard || state.report.Boot != news.Boot {
+	entry, observed := n.detector.BackEnd(name)
+	if state == nil || !state.known || !observed || state.report.Boot != entry.Boot {
 		return nil
 	}
 	return &state.report
@@ -201,8 +201,8 @@
 
 // health joins what the group says of a back end with the machine list.
 func (n *Node) health(name string) placement.Health {
-	news, heard := n.detector.BackEnd(name)
-	if !heard || news.State == member.BackEndDown {
+	entry, observed := n.detector.BackEnd(name)
+	if !observed || entry.State == member.BackEndDown {
 		return placement.Down
 	}
 	machine, found := n.catalog.machines[name]
@@ -211,23 +211,23 @@
 	switch {
 	case !found:
 		return placement.Down
-	case news.State == member.BackEndLeaving || machine.State == api.MachineLeaving || reported:
+	case entry.State == member.BackEndLeaving || machine.State == api.MachineLeaving || reported:
 		return placement.Leaving
 	default:
 		return placement.Up
 	}
 }
 
-// noteLostZones keeps since when each zone with engines has had no live daemon.
-func (n *Node) noteLostZones(now time.Time) {
+// updateLostZones keeps since when each zone with engines has had no live daemon.
+func (n *Node) updateLostZones(now time.Time) {
 	for _, name := range n.catalog.engineNames() {
 		zone := n.catalog.machines[name].Zone
 		_, live := n.duties.byZone[zone]
-		_, noted := n.lostZones[zone]
+		_, recorded := n.lostZones[zone]
 		switch {
 		case live:
 			delete(n.lostZones, zone)
-		case !noted:
+		case !recorded:
 			n.lostZones[zone] = now
 		}
 	}
--- a/control/spread.go
+++ b/control/propagation.go
@@ -13,8 +13,8 @@
 // for each daemon.
 const treeFanout = 4
 
-// watchBackoffLimit bounds the pause after failed watches.
-const watchBackoffLimit = 5 * time.Second
+// maxWatchBackoff bounds the pause after failed watches.
+const maxWatchBackoff = 5 * time.Second
 
 // watchState is the duty of watching the platform.
 type watchState struct {
@@ -23,10 +23,10 @@
 	backoff time.Duration
 }
 
-// spreadState is the duty of passing changes on to other daemons.
-type spreadState struct {
-	// pushed is the version that the tree children were last sent.
-	pushed uint64
+// propagationState is the duty of passing changes on to other daemons.
+type propagationState struct {
+	// sentThrough is the version that the tree children were last sent.
+	sentThrough uint64
 	// peerThrough is what peers were last heard to be complete through.
 	peerThrough     map[string]uint64
 	configuredSeeds []string
@@ -47,42 +47,42 @@
 		return
 	}
 	n.watch.waiting = true
-	n.do(FetchChanges{Since: n.store.Through(), Wait: n.settings.WatchWait})
+	n.emit(FetchChanges{Since: n.store.Through(), Wait: n.settings.WatchWait})
 }
 
 // ChangesAnswered takes in the answer to FetchChanges.
 func (n *Node) ChangesAnswered(now time.Time, answer ChangesAnswer) []Action {
 	n.watch.waiting = false
 	if answer.Err != CallOK {
-		n.watch.backoff = min(max(2*n.watch.backoff, n.settings.WatchPause), watchBackoffLimit)
+		n.watch.backoff = min(max(2*n.watch.backoff, n.settings.WatchPause), maxWatchBackoff)
 		n.watch.next = now.Add(n.jitter(n.watch.backoff))
-		return n.take()
+		return n.takeActions()
 	}
 	n.watch.backoff = 0
 	n.watch.next = now.Add(n.settings.WatchPause)
-	n.learn(n.store.Apply(answer.Delta))
-	n.tickSpread()
-	return n.take()
+	n.updateCatalog(n.store.Apply(answer.Delta))
+	n.tickPropagation()
+	return n.takeActions()
 }
 
-// tickSpread passes new changes on to this daemon's children in the tree of
+// tickPropagation passes new changes on to this daemon's children in the tree of
 // its zone. The tree follows from the members, so it needs no upkeep; a daemon
 // that is missed asks for the changes when it next hears a higher version.
-func (n *Node) tickSpread() {
+func (n *Node) tickPropagation() {
 	through := n.store.Through()
-	if through <= n.spread.pushed {
+	if through <= n.propagation.sentThrough {
 		return
 	}
-	from := n.spread.pushed
-	n.spread.pushed = through
+	from := n.propagation.sentThrough
+	n.propagation.sentThrough = through
 	for _, child := range n.treeChildren() {
 		address := n.address(child)
-		start := max(from, n.spread.peerThrough[address])
+		start := max(from, n.propagation.peerThrough[address])
 		if start >= through {
 			continue
 		}
 		delta := n.store.Since(start, n.settings.DeltaBytes)
-		n.spread.peerThrough[address] = delta.Through
+		n.propagation.peerThrough[address] = delta.Through
 		n.send(address, Message{Delta: &delta})
 	}
 }
@@ -115,9 +115,9 @@
 
 // exchange compares what both sides are complete through. The one that is
 // behind asks for the changes; each probe message makes both compare.
-func (n *Node) exchange(message Message) {
-	n.spread.peerThrough[message.From] = message.Through
-	n.join.heard = max(n.join.heard, message.Through)
+func (n *Node) syncWithPeer(message Message) {
+	n.propagation.peerThrough[message.From] = message.Through
+	n.join.maxPeerVersion = max(n.join.maxPeerVersion, message.Through)
 	through := n.store.Through()
 	switch {
 	case message.Pull:
@@ -130,7 +130,7 @@
 
 // updateSeeds takes the entry machines of the machine list as seeds.
 func (n *Node) updateSeeds() {
-	seeds := slices.Clone(n.spread.configuredSeeds)
+	seeds := slices.Clone(n.propagation.configuredSeeds)
 	for _, machine := range n.catalog.machines {
 		if machine.Role == api.RoleEntry && machine.PeerAddress != "" {
 			seeds = append(seeds, machine.PeerAddress)
--- a/control/share.go
+++ b/control/reportdistribution.go
@@ -9,11 +9,11 @@
 	"github.com/wheatweir/wheatweir/api"
 )
 
-// shareState is what was last passed on about one back end.
-type shareState struct {
-	// whole is the last whole report, sent at wholeAt.
-	whole   api.Report
-	wholeAt time.Time
+// sentReportState is what was last passed on about one back end.
+type sentReportState struct {
+	// whole is the last whole report, sent at fullReportAt.
+	fullReport   api.Report
+	fullReportAt time.Time
 	// requests is the load last sent, at loadAt.
 	requests int
 	loadAt   time.Time
@@ -27,55 +27,55 @@
 }
 
 const (
-	// interestTime is how long after a request this daemon wants to hear of
+	// interestTTL is how long after a request this daemon wants to hear of
 	// the load of a model's back ends.
-	interestTime = 30 * time.Second
-	// subscriptionRenew is the time between two subscriptions, and
-	// subscriptionTime is how long one holds.
-	subscriptionRenew = 30 * time.Second
-	subscriptionTime  = 75 * time.Second
-	// loadRefresh is how long an unchanged load is not sent again.
-	loadRefresh = 10 * time.Second
+	interestTTL = 30 * time.Second
+	// subscriptionInterval is the time between two subscriptions, and
+	// subscriptionTTL is how long one holds.
+	subscriptionInterval = 30 * time.Second
+	subscriptionTTL      = 75 * time.Second
+	// loadRefreshInterval is how long an unchanged load is not sent again.
+	loadRefreshInterval = 10 * time.Second
 )
 
-// shareReport passes a report on. A whole report goes to every daemon that may
+// distributeReport passes a report on. A whole report goes to every daemon that may
 // route or plan the models on the back end, when more than the load changed or
 // the last is old. Load alone goes to the daemons that use those models now.
-func (n *Node) shareReport(now time.Time, name string, state *backEndState) {
+func (n *Node) distributeReport(now time.Time, name string, state *backEndState) {
 	report := &state.report
-	share := &state.share
-	changed := !sameStructure(&share.whole, report)
-	if changed || now.Sub(share.wholeAt) >= n.settings.ReportRefresh {
-		share.whole, share.wholeAt = *report, now
-		share.requests, share.loadAt = report.Running+report.Waiting, now
-		for _, daemon := range n.audience(name, report) {
+	sent := &state.sent
+	changed := !sameStructure(&sent.fullReport, report)
+	if changed || now.Sub(sent.fullReportAt) >= n.settings.ReportRefresh {
+		sent.fullReport, sent.fullReportAt = *report, now
+		sent.requests, sent.loadAt = report.Running+report.Waiting, now
+		for _, daemon := range n.reportRecipients(name, report) {
 			n.send(n.address(daemon), Message{Reports: []api.Report{*report}})
 		}
 		return
 	}
-	if !n.loadDiffers(now, share, report) {
+	if !n.loadUpdateDue(now, sent, report) {
 		return
 	}
-	share.requests, share.loadAt = report.Running+report.Waiting, now
+	sent.requests, sent.loadAt = report.Running+report.Waiting, now
 	load := LoadReport{
 		BackEnd: name, BootHash: bootHash(report.Boot), Sequence: report.Sequence,
 		Running: report.Running, Waiting: report.Waiting,
 	}
-	for _, address := range n.loadAudience(now, report) {
+	for _, address := range n.loadSubscribers(now, report) {
 		n.send(address, Message{Loads: []LoadReport{load}})
 	}
 }
 
-// loadDiffers reports whether the load has moved enough, or long enough ago, to
+// loadUpdateDue reports whether the load has moved enough, or long enough ago, to
 // be worth a message.
-func (n *Node) loadDiffers(now time.Time, share *shareState, report *api.Report) bool {
-	age := now.Sub(share.loadAt)
+func (n *Node) loadUpdateDue(now time.Time, sent *sentReportState, report *api.Report) bool {
+	age := now.Sub(sent.loadAt)
 	if age < n.settings.LoadPause {
 		return false
 	}
-	change := float64(report.Running + report.Waiting - share.requests)
+	change := float64(report.Running + report.Waiting - sent.requests)
 	step := n.settings.LoadChange * float64(report.Slots)
-	return change >= step || change <= -step || change != 0 && age >= loadRefresh
+	return change >= step || change <= -step || change != 0 && age >= loadRefreshInterval
 }
 
 func bootHash(boot string) uint32 { return uint32(xxhash.Sum64String(boot)) }
@@ -95,7 +95,7 @@
 // zone, of each model that the back end holds or should hold, and the daemon that
 // plans the model. An engine that came back empty must be reported to those who
 // believe that it still has their models.
-func (n *Node) audience(name string, report *api.Report) []string {
+func (n *Node) reportRecipients(name string, report *api.Report) []string {
 	models := modelsOf(report)
 	for _, entry := range n.catalog.placements[name].placement.Entries {
 		if entry.Artifact.Adapter == "" && !slices.Contains(models, entry.Artifact.Model) {
@@ -115,9 +115,9 @@
 	return slices.DeleteFunc(names, func(name string) bool { return name == n.detector.Self().Name })
 }
 
-// loadAudience returns the peer addresses that subscribed to a model on the
+// loadSubscribers returns the peer addresses that subscribed to a model on the
 // back end.
-func (n *Node) loadAudience(now time.Time, report *api.Report) []string {
+func (n *Node) loadSubscribers(now time.Time, report *api.Report) []string {
 	var addresses []string
 	for _, model := range modelsOf(report) {
 		for _, address := range sortedNames(n.subscribers[model]) {
@@ -132,16 +132,16 @@
 	return slices.Compact(addresses)
 }
 
-// takeLoad takes in a report of load alone. It is dropped unless it follows
+// mergeLoad takes in a report of load alone. It is dropped unless it follows
 // the known whole report.
-func (n *Node) takeLoad(now time.Time, load LoadReport) {
+func (n *Node) mergeLoad(now time.Time, load LoadReport) {
 	state := n.backEnds[load.BackEnd]
 	if state == nil || !state.known || bootHash(state.report.Boot) != load.BootHash || load.Sequence <= state.report.Sequence {
 		return
 	}
 	state.report.Sequence = load.Sequence
 	state.report.Running, state.report.Waiting = load.Running, load.Waiting
-	n.noteLoad(now, state)
+	n.recordLoad(now, state)
 }
 
 // Interested notes that this daemon got a request for a model.
@@ -151,7 +151,7 @@
 		known = &interest{}
 		n.interest[model] = known
 	}
-	known.until = now.Add(interestTime)
+	known.until = now.Add(interestTTL)
 }
 
 // tickSubscriptions subscribes to the load of the models in use here: at once
@@ -160,7 +160,7 @@
 func (n *Node) tickSubscriptions(now time.Time) {
 	renew := !now.Before(n.nextRenewal)
 	if renew {
-		n.nextRenewal = now.Add(n.jitter(subscriptionRenew))
+		n.nextRenewal = now.Add(n.jitter(subscriptionInterval))
 	}
 	byDaemon := map[string][]string{}
 	for _, model := range sortedNames(n.interest) {
@@ -189,14 +189,14 @@
 
 // subscribed notes a subscription. A new subscriber gets the whole reports at
 // once, since it may not be one that gets them anyway.
-func (n *Node) subscribed(now time.Time, address, model string) {
+func (n *Node) addSubscriber(now time.Time, address, model string) {
 	byAddress := n.subscribers[model]
 	if byAddress == nil {
 		byAddress = map[string]time.Time{}
 		n.subscribers[model] = byAddress
 	}
 	_, known := byAddress[address]
-	byAddress[address] = now.Add(subscriptionTime)
+	byAddress[address] = now.Add(subscriptionTTL)
 	if known {
 		return
 	}
--- a/control/table.go
+++ b/control/table.go
@@ -11,9 +11,9 @@
 	"github.com/wheatweir/wheatweir/route"
 )
 
-// observationAge is how old a report may be to count as an observation of what
+// observationTTL is how old a report may be to count as an observation of what
 // an engine serves.
-const observationAge = 150 * time.Second
+const observationTTL = 150 * time.Second
 
 // Revision changes whenever Table would return something else.
 func (n *Node) Revision() uint64 { return n.revision + n.detector.Revision() }
@@ -43,11 +43,11 @@
 	for _, name := range n.catalog.engineNames() {
 		state := n.backEnd(name)
 		health := n.health(name)
-		aged := state.known && now.Sub(state.at) >= observationAge
-		news, _ := n.detector.BackEnd(name)
-		if health != state.health || news.Boot != state.viewedBoot || aged && !state.aged {
-			state.health, state.viewedBoot = health, news.Boot
-			state.aged = aged
+		expired := state.known && now.Sub(state.at) >= observationTTL
+		entry, _ := n.detector.BackEnd(name)
+		if health != state.health || entry.Boot != state.viewedBoot || expired && !state.expired {
+			state.health, state.viewedBoot = health, entry.Boot
+			state.expired = expired
 			n.catalog.markBackEnd(name)
 		}
 	}
@@ -75,7 +75,7 @@
 	record := n.catalog.placements[name].placement
 	var backEnd *route.BackEnd
 	state := n.backEnds[name]
-	fresh := n.currentReport(name) != nil && now.Sub(state.at) < observationAge
+	fresh := n.currentReport(name) != nil && now.Sub(state.at) < observationTTL
 	for i := range record.Entries {
 		entry := &record.Entries[i]
 		if entry.Artifact.Model != model.Spec.Name || entry.Artifact.Adapter != "" || entry.Phase != api.PhaseHeld {
@@ -208,8 +208,8 @@
 
 // Learned takes in an object that an operator's command has just written here.
 func (n *Node) Learned(object api.Object) []Action {
-	n.learnObject(object)
-	return n.take()
+	n.mergeObject(object)
+	return n.takeActions()
 }
 
 // Machines returns the platform's machine list as known here, sorted by name.
--- a/control/writes.go
+++ b/control/writes.go
@@ -16,14 +16,14 @@
 type writeState struct {
 	pending map[api.Key]*pendingWrite
 	// tokens is how many writes may start now; it grows by rate a second.
-	tokens  float64
-	rate    float64
-	filled  time.Time
-	counter uint64
+	tokens     float64
+	rate       float64
+	refilledAt time.Time
+	counter    uint64
 	// paused is until when no write starts, and refusals counts the refused
 	// writes since the last one that was taken.
-	paused   time.Time
-	refusals int
+	backoffUntil time.Time
+	refusals     int
 }
 
 type pendingWrite struct {
@@ -31,38 +31,38 @@
 	// release waits for a fresh read of the record that it relies on.
 	release *placement.Operation
 	// readKey is the object whose read is outstanding or due.
-	readKey  api.Key
-	readDue  time.Time
-	readOpen bool
+	readKey      api.Key
+	readDue      time.Time
+	readInFlight bool
 }
 
 const (
 	// writeBurst is how many writes a daemon may make at once.
 	writeBurst = 8
-	// A daemon starts at writeRateStart writes a second, adds writeRateStep
+	// A daemon starts at initialWritesPerSecond writes a second, adds writesPerSecondStep
 	// for each that the platform takes, and halves its rate for each that it
 	// refuses. Few daemons with much to write so get most of the platform's
 	// rate, and many get equal shares of it.
-	writeRateStart = 2.0
-	writeRateStep  = 0.2
-	writeRateLimit = 10.0
-	// readRetry is the pause before a failed read is made again.
-	readRetry = time.Second
-	// refusalPause is the pause of all writes after the platform refused one;
-	// it doubles with each further refusal up to refusalLimit.
-	refusalPause = time.Second
-	refusalLimit = 8 * time.Second
+	initialWritesPerSecond = 2.0
+	writesPerSecondStep    = 0.2
+	maxWritesPerSecond     = 10.0
+	// readBackoff is the pause before a failed read is made again.
+	readBackoff = time.Second
+	// refusalBackoff is the pause of all writes after the platform refused one;
+	// it doubles with each further refusal up to maxRefusalBackoff.
+	refusalBackoff    = time.Second
+	maxRefusalBackoff = 8 * time.Second
 )
 
 func (n *Node) tickWrites(now time.Time) {
 	n.refillWrites(now)
 	for _, key := range n.pendingKeys() {
 		pending := n.writes.pending[key]
-		if pending.readKey.Name == "" || pending.readOpen || now.Before(pending.readDue) {
+		if pending.readKey.Name == "" || pending.readInFlight || now.Before(pending.readDue) {
 			continue
 		}
-		pending.readOpen = true
-		n.do(Read{Key: pending.readKey})
+		pending.readInFlight = true
+		n.emit(Read{Key: pending.readKey})
 	}
 }
 
@@ -78,23 +78,23 @@
 
 // refillWrites lets writes through at the present rate.
 func (n *Node) refillWrites(now time.Time) {
-	if n.writes.filled.IsZero() {
-		n.writes.rate = writeRateStart
+	if n.writes.refilledAt.IsZero() {
+		n.writes.rate = initialWritesPerSecond
 	} else {
-		n.writes.tokens += n.writes.rate * now.Sub(n.writes.filled).Seconds()
+		n.writes.tokens += n.writes.rate * now.Sub(n.writes.refilledAt).Seconds()
 	}
-	n.writes.filled = now
+	n.writes.refilledAt = now
 	n.writes.tokens = min(n.writes.tokens, writeBurst)
 }
 
-// slowWrites reacts to a write that the platform refused. The rate stays at
+// backOffWrites reacts to a write that the platform refused. The rate stays at
 // least at half of an equal share of the budget.
-func (n *Node) slowWrites(now time.Time) {
+func (n *Node) backOffWrites(now time.Time) {
 	share := n.settings.WritesPerSecond / float64(max(len(n.detector.Live()), 1))
 	n.writes.rate = max(n.writes.rate/2, share/2)
-	pause := min(refusalPause<<min(n.writes.refusals, maxRefusalDoublings), refusalLimit)
+	backoff := min(refusalBackoff<<min(n.writes.refusals, maxRefusalDoublings), maxRefusalBackoff)
 	n.writes.refusals++
-	n.writes.paused = now.Add(n.jitter(pause))
+	n.writes.backoffUntil = now.Add(n.jitter(backoff))
 }
 
 // maxRefusalDoublings keeps the doubling within the range of a duration.
@@ -104,7 +104,7 @@
 // if the write has to wait for its turn.
 func (n *Node) write(now time.Time, record api.Placement, version uint64, deleted bool) bool {
 	key := api.Key{Kind: api.KindPlacement, Name: record.BackEnd}
-	if n.writes.tokens < 1 || now.Before(n.writes.paused) || n.writes.pending[key] != nil {
+	if n.writes.tokens < 1 || now.Before(n.writes.backoffUntil) || n.writes.pending[key] != nil {
 		return false
 	}
 	n.writes.tokens--
@@ -125,7 +125,7 @@
 		object.Value = api.Encode(record)
 	}
 	n.writes.pending[key] = &pendingWrite{writeID: object.WriteID}
-	n.do(Write{Object: object, IfVersion: version})
+	n.emit(Write{Object: object, IfVersion: version})
 }
 
 // WriteAnswered takes in the answer to Write.
@@ -134,27 +134,27 @@
 	switch answer.Err {
 	case CallOK, CallConflict:
 		delete(n.writes.pending, answer.Key)
-		n.learnObject(answer.Object)
-		n.writes.rate = min(n.writes.rate+writeRateStep, writeRateLimit)
+		n.mergeObject(answer.Object)
+		n.writes.rate = min(n.writes.rate+writesPerSecondStep, maxWritesPerSecond)
 		n.writes.refusals = 0
 		if answer.Err == CallConflict {
-			n.decide("placement", "Write lost a race.", "object", answer.Key.String(), "winner", answer.Object.Writer, "version", answer.Object.Version)
+			n.logDecision("placement", "Write lost a race.", "object", answer.Key.String(), "winner", answer.Object.Writer, "version", answer.Object.Version)
 		}
 	case CallNotDone:
 		delete(n.writes.pending, answer.Key)
-		n.slowWrites(now)
+		n.backOffWrites(now)
 	case CallUnknown:
 		if pending != nil {
 			pending.readKey = answer.Key
 			pending.readDue = now
 		}
 	}
-	return n.take()
+	return n.takeActions()
 }
 
-func (n *Node) learnObject(object api.Object) {
+func (n *Node) mergeObject(object api.Object) {
 	if object.Version != 0 && n.store.Learn(object) {
-		n.learn([]api.Key{object.Key})
+		n.updateCatalog([]api.Key{object.Key})
 	}
 }
 
@@ -162,24 +162,24 @@
 func (n *Node) ReadAnswered(now time.Time, answer ReadAnswer) []Action {
 	for _, key := range n.pendingKeys() {
 		pending := n.writes.pending[key]
-		if !pending.readOpen || pending.readKey != answer.Key {
+		if !pending.readInFlight || pending.readKey != answer.Key {
 			continue
 		}
-		pending.readOpen = false
+		pending.readInFlight = false
 		if answer.Err != CallOK {
-			pending.readDue = now.Add(n.jitter(readRetry))
+			pending.readDue = now.Add(n.jitter(readBackoff))
 			if pending.release != nil {
 				delete(n.writes.pending, key)
 			}
 			continue
 		}
 		delete(n.writes.pending, key)
-		n.learnObject(answer.Object)
+		n.mergeObject(answer.Object)
 		if pending.release != nil {
 			n.finishRelease(now, *pending.release, answer.Object)
 		}
 	}
-	return n.take()
+	return n.takeActions()
 }
 
 // startRelease asks for a fresh read of the record that a release relies on.
@@ -196,13 +196,13 @@
 }
 
 // finishRelease writes a release if the record read afresh still allows it.
-func (n *Node) finishRelease(now time.Time, operation placement.Operation, relied api.Object) {
-	if relied.Deleted || relied.Version == 0 {
+func (n *Node) finishRelease(now time.Time, operation placement.Operation, reliedOn api.Object) {
+	if reliedOn.Deleted || reliedOn.Version == 0 {
 		return
 	}
-	record, err := api.Decode[api.Placement](relied)
+	record, err := api.Decode[api.Placement](reliedOn)
 	if err != nil || !placement.MayRely(record, operation.ReliesOnArtifact) {
-		n.decide("placement", "Release given up.", "back_end", operation.BackEnd, "relies_on", operation.ReliesOn)
+		n.logDecision("placement", "Release given up.", "back_end", operation.BackEnd, "relies_on", operation.ReliesOn)
 		return
 	}
 	n.applyOperations(now, operation.BackEnd, []placement.Operation{operation})
@@ -232,7 +232,7 @@
 		return
 	}
 	for _, operation := range applied {
-		n.decide("placement", "Placement changes.", "action", operation.Kind, "artifact", operation.Artifact.String(),
+		n.logDecision("placement", "Placement changes.", "action", operation.Kind, "artifact", operation.Artifact.String(),
 			"back_end", backEnd, "on_version", known.version, "reason", operation.Reason)
 	}
 }
