--- a/control/backends.go
+++ b/control/backends.go
@@ -9,14 +9,17 @@
 	"github.com/wheatweir/wheatweir/placement"
 )
 
-// backEndState is what this daemon knows of one back end.
+// backEndState is this daemon's state of one back end. The field known is true once a
+// report has been received, and at is when the last report or load update was.
 type backEndState struct {
 	report api.Report
 	known  bool
 	at     time.Time
-	// expired says that the routing view no longer counts the report.
+	// expired means that the report is too old to count as an observation in the routing
+	// view.
 	expired bool
-	// health and viewedBoot are what the routing view was made with.
+	// viewedBoot and health are the boot and health that the routing view was built
+	// with.
 	viewedBoot string
 	health     placement.Health
 	polling    bool
@@ -24,7 +27,7 @@
 	failures   int
 	orders     map[orderKey]time.Time
 	sent       sentReportState
-	// requesters are the peer addresses that wait for this daemon's next poll.
+	// requesters are the peer addresses to which the report of the next poll is sent.
 	requesters []string
 }
 
@@ -65,7 +68,7 @@
 	n.emit(Poll{BackEnd: name, Address: machine.Address})
 }
 
-// PollAnswered takes in the answer to Poll.
+// PollAnswered handles the answer to Poll.
 func (n *Node) PollAnswered(now time.Time, answer PollAnswer) []Action {
 	state := n.backEnd(answer.BackEnd)
 	state.polling = false
@@ -89,9 +92,9 @@
 	return n.takeActions()
 }
 
-// pollFailed counts polls that failed in a row. Only the daemon that acts for a back
-// end holds it for down: others may be cut off from it. Until then it has others poll
-// it too, as it may be this daemon that is cut off.
+// pollFailed counts polls that failed in a row. Only the daemon that acts for a back end
+// marks it down, because others may be unable to reach it. Until then it has other
+// daemons poll the back end too, as the fault may be in its own connection.
 func (n *Node) pollFailed(name string, state *backEndState) {
 	state.failures++
 	if state.failures < n.settings.PollFailures {
@@ -105,8 +108,8 @@
 	}
 }
 
-// mergeReport takes in a report if it is newer than the known one, and returns
-// whether it is.
+// mergeReport stores a report if it is newer than the stored one, and returns whether it
+// was.
 func (n *Node) mergeReport(now time.Time, report api.Report) bool {
 	state := n.backEnd(report.BackEnd)
 	if state.known && !reportNewer(&report, &state.report) {
@@ -123,14 +126,14 @@
 	return true
 }
 
-// observeHealth tells the group what a poll of this daemon's own showed.
+// observeHealth publishes to the members the health that a report shows.
 func (n *Node) observeHealth(report *api.Report) {
 	health := member.BackEndUp
 	if report.Leaving || n.catalog.machines[report.BackEnd].State == api.MachineLeaving {
 		health = member.BackEndLeaving
 	}
 	if n.detector.ObserveBackEnd(report.BackEnd, report.Boot, health) {
-		n.logDecision("placement", "Back end state.", "back_end", report.BackEnd, "state", health, "boot", report.Boot)
+		n.logDecision("placement", "Back end state changed.", "back_end", report.BackEnd, "state", health, "boot", report.Boot)
 	}
 }
 
@@ -152,7 +155,7 @@
 	return a.Boot == b.Boot && a.Leaving == b.Leaving && a.Slots == b.Slots && slices.Equal(a.Residents, b.Residents)
 }
 
-// reconcile makes the engine follow its record.
+// reconcile moves the engine towards its placement record.
 func (n *Node) reconcile(now time.Time, name string, machine api.Machine, state *backEndState) {
 	known, found := n.catalog.placements[name]
 	if !found {
@@ -164,21 +167,22 @@
 		record.BackEnd = name
 		record.Leaving = leaving
 		if n.write(now, record, known.version, false) {
-			n.logDecision("placement", "Back end emptying changes.", "back_end", name, "leaving", leaving)
+			n.logDecision("placement", "Leaving flag in placement record of back end changed.", "back_end", name, "leaving", leaving)
 		}
 		return
 	}
 	result := placement.Reconcile(known.placement, known.version, machine.ChecksFence, &state.report, n.loadSlots())
 	if result.RecordChanged {
 		if n.write(now, result.Record, known.version, false) {
-			n.logDecision("placement", "Memory released.", "back_end", name, "fence", state.report.Fence)
+			n.logDecision("placement", "Released artifacts removed from placement record.", "back_end", name, "fence", state.report.Fence)
 		}
 		return
 	}
 	n.sendOrders(now, name, machine, state, result.Orders)
 }
 
-// loadSlots is this daemon's share of the weight store's slots.
+// loadSlots returns how many loads may run at once on one back end, from this daemon's
+// share of the weight store's slots.
 func (n *Node) loadSlots() int {
 	engines := max(len(n.catalog.engineNames()), 1)
 	mine := len(n.actingFor())
@@ -203,7 +207,8 @@
 	}
 }
 
-// deleteOrphanRecords deletes records of machines that left the machine list.
+// deleteOrphanRecords deletes placement records of machines that were removed from the
+// machine list.
 func (n *Node) deleteOrphanRecords(now time.Time) {
 	if now.Before(n.nextPlan) || len(n.catalog.machines) == 0 {
 		return
@@ -216,7 +221,7 @@
 			continue
 		}
 		if n.write(now, known.placement, known.version, true) {
-			n.logDecision("placement", "Record removed.", "back_end", name, "reason", "machine gone")
+			n.logDecision("placement", "Placement record removed.", "back_end", name, "reason", "machine gone")
 		}
 	}
 }
--- a/control/catalog.go
+++ b/control/catalog.go
@@ -6,15 +6,15 @@
 	"github.com/wheatweir/wheatweir/api"
 )
 
-// catalog holds the objects of the store in their typed form, decoded once for
-// each version.
+// catalog holds the objects of the store in typed form. Each version of an object is
+// decoded once.
 type catalog struct {
 	models     map[string]modelEntry
 	services   map[string]api.Service
 	tenants    map[string]api.Tenant
 	machines   map[string]api.Machine
 	placements map[string]placementEntry
-	// holdersOf lists, for each model, the back ends whose records name it.
+	// holdersOf maps each model to the back ends whose placement records list it.
 	holdersOf map[string]map[string]bool
 	// dirty names the models whose routing view is out of date.
 	dirty map[string]bool
@@ -52,13 +52,14 @@
 	}
 }
 
-// invalidateDuties forgets who acts for what, after the members have changed.
+// invalidateDuties discards the cached assignments of back ends and models to this
+// daemon, after the members have changed.
 func (c *catalog) invalidateDuties() {
 	c.actingStale = true
 	c.plannedStale = true
 }
 
-// markBackEnd marks the models on a back end as out of date for routing.
+// markBackEnd marks the models on a back end for a rebuild of their routing views.
 func (c *catalog) markBackEnd(name string) {
 	for _, entry := range c.placements[name].placement.Entries {
 		c.dirty[entry.Artifact.Model] = true
@@ -83,7 +84,7 @@
 	c.markBackEnd(name)
 }
 
-// learn decodes objects that changed and notes what depends on them.
+// updateCatalog decodes the changed objects and invalidates what is derived from them.
 func (n *Node) updateCatalog(changed []api.Key) {
 	if len(changed) == 0 {
 		return
@@ -93,7 +94,7 @@
 	for _, key := range changed {
 		object, live := n.store.Get(key)
 		if err := n.catalog.apply(object, live); err != nil {
-			n.logDecision("config", "Object ignored.", "object", key.String(), "version", object.Version, "error", err)
+			n.logDecision("config", "Object could not be decoded; change ignored.", "object", key.String(), "version", object.Version, "error", err)
 		}
 		machines = machines || key.Kind == api.KindMachine
 		n.catalog.plannedStale = n.catalog.plannedStale || key.Kind == api.KindModel
--- a/control/events.go
+++ b/control/events.go
@@ -9,32 +9,34 @@
 	"github.com/wheatweir/wheatweir/replica"
 )
 
-// Message is what daemons send to each other. Only the parts in use are set.
+// Message is what daemons send to each other. Only the fields in use are set.
 type Message struct {
 	// From is the peer address of the sender.
 	From string `msgpack:"f"`
-	// Through is the version that the sender's store is complete through.
+	// Through is the version up to which the sender's store is complete.
 	Through uint64          `msgpack:"t"`
 	Probe   *member.Message `msgpack:"p,omitempty"`
-	// Pull asks for the changes after the sender's Through.
+	// Pull requests the changes after the sender's Through.
 	Pull    bool           `msgpack:"l,omitempty"`
 	Delta   *replica.Delta `msgpack:"d,omitempty"`
 	Reports []api.Report   `msgpack:"r,omitempty"`
 	Loads   []LoadReport   `msgpack:"o,omitempty"`
-	// Subscribe names models whose back ends' load the sender wants to hear
-	// of for a while, from the daemon that acts for them.
+	// Subscribe lists models for which the sender wants load updates of the back ends
+	// until the subscription expires. It is sent to the daemons that act for those back
+	// ends.
 	Subscribe []string      `msgpack:"s,omitempty"`
 	Demand    []ModelDemand `msgpack:"m,omitempty"`
-	// Ask names back ends that the receiver is to poll for the sender, which acts
-	// for them and got no answer.
+	// Ask lists back ends that the receiver polls on behalf of the sender. The sender
+	// acts for them and its own poll failed.
 	Ask []string `msgpack:"a,omitempty"`
-	// Limit is about the limits of tenants; Sender then names the daemon.
+	// Limit carries a message of the tenants' rate limiter; Sender then names the
+	// sending daemon.
 	Limit  *limiter.Message `msgpack:"i,omitempty"`
 	Sender string           `msgpack:"n,omitempty"`
 }
 
-// LoadReport is the part of a report that changes often. It adds to the last
-// whole report of the same boot.
+// LoadReport is the part of a report that changes often. It updates the last full report
+// of the same boot.
 type LoadReport struct {
 	BackEnd  string `msgpack:"n"`
 	BootHash uint32 `msgpack:"b"`
@@ -43,18 +45,18 @@
 	Waiting  int    `msgpack:"w"`
 }
 
-// ModelDemand is one daemon's load of one model.
+// ModelDemand is the demand for one model at one daemon.
 type ModelDemand struct {
 	Daemon string `msgpack:"d"`
 	Model  string `msgpack:"m"`
-	// Requests is the average number in progress and waiting.
+	// Requests is the average number of requests in progress and waiting.
 	Requests float64 `msgpack:"r"`
 }
 
-// CallError says how a call to the platform or an engine failed.
+// CallError classifies the failure of a call to the platform or an engine.
 type CallError int
 
-// Ways a call can fail.
+// Results of a call.
 const (
 	CallOK CallError = iota
 	// CallNotDone means that the call certainly had no effect.
@@ -71,8 +73,8 @@
 	Err   CallError
 }
 
-// WriteAnswer answers Write. Object is the new object, or the one in the way
-// after a conflict.
+// WriteAnswer answers Write. Object is the new object, or after a conflict the object
+// that is stored instead.
 type WriteAnswer struct {
 	Key    api.Key
 	Object api.Object
@@ -93,17 +95,17 @@
 	Err     CallError
 }
 
-// Action is something that a Node wants done.
+// Action is an operation that a Node requests from its driver.
 type Action interface{ action() }
 
-// SendPeer sends a message to another daemon; it may be lost.
+// SendPeer sends a message to another daemon. Delivery is not guaranteed.
 type SendPeer struct {
 	Address string
 	Message Message
 }
 
-// FetchChanges asks the platform for the changes after a version and waits
-// there up to Wait if there are none.
+// FetchChanges requests the changes after a version from the platform, which delays its
+// answer by up to Wait if there are none.
 type FetchChanges struct {
 	Since uint64
 	Wait  time.Duration
@@ -118,27 +120,27 @@
 // Read fetches one object.
 type Read struct{ Key api.Key }
 
-// Poll asks an engine for its report.
+// Poll requests a report from an engine.
 type Poll struct {
 	BackEnd string
 	Address string
 }
 
-// SendOrder sends an order to an engine. Its answer is not needed: the effect
-// shows in a later report.
+// SendOrder sends an order to an engine. The engine's answer is not needed, because the
+// effect shows in a later report.
 type SendOrder struct {
 	BackEnd string
 	Address string
 	Order   api.Order
 }
 
-// Decision is a log line about a decision.
+// Decision is a log entry about a decision.
 type Decision struct {
 	// Part is the part of the daemon that decided.
 	Part string
 	// Text is a short sentence.
 	Text string
-	// Fields are alternating names and values.
+	// Fields holds alternating names and values.
 	Fields []any
 }
 
--- a/control/fallbackpoll.go
+++ b/control/fallbackpoll.go
@@ -9,10 +9,11 @@
 	"github.com/wheatweir/wheatweir/placement"
 )
 
-// fallbackPollState says whether this daemon asks the back ends that it sends to itself.
-// While all daemons are well it relies on those that act for the back ends, whose
-// silence then means that nothing has changed. Asking at all times would cost a fleet
-// of 40 daemons more than twice the bytes of all other control traffic.
+// fallbackPollState decides whether this daemon itself polls the back ends that it sends
+// requests to. While all daemons are alive it relies on the daemons that act for the
+// back ends: no update from them then means that nothing has changed. Polling at all
+// times would cost a fleet of 40 daemons more than twice the bytes of all other control
+// traffic.
 type fallbackPollState struct {
 	revision  uint64
 	live      int
@@ -21,13 +22,13 @@
 	disruptedAt time.Time
 }
 
-// takeoverWindow is how long after the last sign here that a daemon is lost another one may
-// not have taken its duties over yet: the last of 40 daemons hears of a death 9 to 13 s
-// after it, most of which is suspicion.
+// takeoverWindow is how long after the last local sign of a lost daemon its duties may
+// not have been taken over yet. The last of 40 daemons receives the update of a death 9
+// to 13 s after it, most of which is the suspicion timeout.
 const takeoverWindow = 10 * time.Second
 
-// recordDisruption takes in whether a daemon is suspected or was lost. Which one is of no
-// matter: where one is lost, more may be that have not been missed yet.
+// recordDisruption records whether a daemon is suspected or was lost. It does not matter
+// which daemon: where one is lost, more may be lost that have not been detected yet.
 func (n *Node) recordDisruption(now time.Time) {
 	state := &n.fallback
 	lost := false
@@ -48,8 +49,9 @@
 	})
 }
 
-// tickFallbackPolls asks the back ends that requests may be sent to and of which nothing
-// was heard for long, while there is doubt about the daemons that act for them.
+// tickFallbackPolls polls the back ends that requests may be sent to and whose last
+// report is older than NewsAge. It does so only while the daemons that act for them may
+// be lost.
 func (n *Node) tickFallbackPolls(now time.Time) {
 	n.recordDisruption(now)
 	if n.fallback.disruptedAt.IsZero() || now.Sub(n.fallback.disruptedAt) >= takeoverWindow {
@@ -64,7 +66,8 @@
 	}
 }
 
-// requestPolls has a few other daemons poll a back end that gave this one no answer.
+// requestPolls requests a few other daemons to poll a back end that did not answer this
+// one.
 func (n *Node) requestPolls(name string) {
 	others := slices.DeleteFunc(slices.Clone(n.detector.Live()), func(other string) bool { return other == n.detector.Self().Name })
 	n.random.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
@@ -73,8 +76,8 @@
 	}
 }
 
-// asked polls a back end for another daemon. A poll that was made a moment ago is not
-// repeated; what it told is the answer.
+// handlePollRequest polls a back end for another daemon. If the last poll is so recent
+// that the next is not due yet, its result is the answer.
 func (n *Node) handlePollRequest(now time.Time, address, name string) {
 	if _, found := n.catalog.machines[name]; !found {
 		return
@@ -89,7 +92,7 @@
 	}
 }
 
-// answerRequesters passes the newest report on to the daemons that asked for it.
+// answerRequesters sends the newest report to the daemons that requested a poll.
 func (n *Node) answerRequesters(state *backEndState) {
 	for _, address := range state.requesters {
 		if state.known {
@@ -99,9 +102,10 @@
 	state.requesters = nil
 }
 
-// propagateLeaving tells the group that a back end that this daemon acts for is leaving,
-// as it hears from one that polled it. That it is up is told only by own polls: this
-// daemon's orders may not reach it.
+// propagateLeaving publishes to the members that a back end that this daemon acts for is
+// leaving, when another daemon that polled it reports so. That a back end is up is
+// published only after a poll of this daemon's own, since its orders may not reach the
+// back end.
 func (n *Node) propagateLeaving(now time.Time, name string) {
 	state := n.backEnd(name)
 	machine, found := n.catalog.machines[name]
--- a/control/fallbackpoll_test.go
+++ b/control/fallbackpoll_test.go
@@ -13,8 +13,8 @@
 	"github.com/wheatweir/wheatweir/replica"
 )
 
-// peerFixture drives one node beside another daemon, which nodeFixture is in the zone of the
-// only engine and so acts for it.
+// peerFixture drives one node beside another daemon, which is the only one in the zone
+// of the only engine and therefore acts for it.
 type peerFixture struct {
 	*nodeFixture
 	sequence uint64
@@ -41,13 +41,14 @@
 	return api.Report{BackEnd: "e", Boot: "b", Sequence: b.sequence, Slots: 4, Residents: []api.Artifact{{Model: "m", Version: "v1"}}}
 }
 
-// load returns the engine's next report of load nodeFixture.
+// load returns the engine's next load update.
 func (b *peerFixture) load() control.LoadReport {
 	b.sequence++
 	return control.LoadReport{BackEnd: "e", BootHash: uint32(xxhash.Sum64String("b")), Sequence: b.sequence, Running: 1}
 }
 
-// hear gives the node a message of the other daemon, which shows that the engine is up.
+// receive delivers a message of the other daemon to the node; its probe lists the engine
+// as up.
 func (b *peerFixture) receive(message control.Message, members ...member.Member) {
 	message.Probe = &member.Message{Kind: member.Ping, Members: members}
 	b.send(message)
@@ -60,13 +61,13 @@
 	return b.node.Receive(b.now, message)
 }
 
-// receiveThird gives the node news of a third daemon.
+// receiveThird delivers the state of a third daemon to the node.
 func (b *peerFixture) receiveThird(state member.State) {
 	third := member.Member{Name: "t", Zone: "third", PeerAddress: "third", Incarnation: 1, State: state}
 	b.receive(control.Message{}, third)
 }
 
-// run lets time pass in which callers use the model or not, and returns the polls.
+// run advances the time, with requests for the model or without, and returns the polls.
 func (b *peerFixture) run(span time.Duration, inUse bool) []control.Poll {
 	var polls []control.Poll
 	for end := b.now.Add(span); b.now.Before(end); {
@@ -85,7 +86,7 @@
 	return polls
 }
 
-// acknowledge answers the node's probes of the other daemon, which is well.
+// acknowledge answers the node's probes of the other daemon, which stays alive.
 func (b *peerFixture) acknowledge(sent control.SendPeer) {
 	if probe := sent.Message.Probe; sent.Address == "other" && probe != nil && probe.Kind == member.Ping {
 		b.send(control.Message{Probe: &member.Message{Kind: member.Ack, Sequence: probe.Sequence}})
@@ -94,33 +95,35 @@
 
 func (b *peerFixture) candidates() int { return len(b.node.Table(b.now).Models["m"].Candidates) }
 
-// pollAge is the age of news from which on an engine is asked.
+// pollAge is the age of the last report from which on the node polls an engine itself.
 var pollAge = control.DefaultSettings().NewsAge
 
-// TestEngineIsAskedOnlyInDoubt covers the calm: a daemon whose others are all well
-// relies on the one that acts for the engine, however old the news is.
+// While no daemon is suspected, a node relies on the daemon that acts for the engine,
+// however old the last report is. Polling without need would multiply the control
+// traffic. Once a daemon is suspected, the node polls the engine and must respect that
+// it is leaving.
 func TestEngineIsAskedOnlyInDoubt(t *testing.T) {
 	b := newPeerFixture()
 	if polls := b.run(20*time.Second, true); len(polls) != 0 {
-		t.Fatalf("%d polls without doubt", len(polls))
+		t.Fatalf("%d polls of the engine while no daemon is suspected", len(polls))
 	}
 	b.receiveThird(member.Suspect)
 	if polls := b.run(200*time.Millisecond, true); len(polls) != 1 || polls[0].BackEnd != "e" {
-		t.Fatalf("polls %v once a daemon is suspected", polls)
+		t.Fatalf("polls %v after a daemon became suspected, want one of engine e", polls)
 	}
 	if b.candidates() != 1 {
-		t.Fatal("the engine is not in use")
+		t.Fatal("the engine is no candidate while a daemon is suspected")
 	}
 	report := b.report()
 	report.Leaving = true
 	b.node.PollAnswered(b.now, control.PollAnswer{BackEnd: "e", Report: report})
 	if b.candidates() != 0 {
-		t.Fatal("the engine said that it leaves and is still in use")
+		t.Fatal("the engine reported that it is leaving and is still a candidate")
 	}
 }
 
-// TestEngineIsAskedAfterALoss covers a daemon whose death is informed of at once, and the
-// end of the doubt once its duties have surely been taken over.
+// A death that is reported without a suspicion before it starts the polls too. They must
+// end once the duties of the lost daemon have been taken over.
 func TestEngineIsAskedAfterALoss(t *testing.T) {
 	b := newPeerFixture()
 	b.run(pollAge, true)
@@ -129,21 +132,21 @@
 	b.receiveThird(member.Dead)
 	polls := b.run(200*time.Millisecond, true)
 	if len(polls) != 1 {
-		t.Fatalf("%d polls after a loss", len(polls))
+		t.Fatalf("%d polls after the loss of a daemon, want 1", len(polls))
 	}
 	b.node.PollAnswered(b.now, control.PollAnswer{BackEnd: "e", Report: b.report()})
 	again := b.run(20*time.Second, true)
 	if len(again) != 1 {
-		t.Fatalf("%d polls without an answer", len(again))
+		t.Fatalf("%d polls while the last one is unanswered, want 1", len(again))
 	}
 	b.node.PollAnswered(b.now, control.PollAnswer{BackEnd: "e", Report: b.report()})
 	if late := b.run(20*time.Second, true); len(late) != 0 {
-		t.Fatalf("%d polls long after the loss", len(late))
+		t.Fatalf("%d polls after the takeover window", len(late))
 	}
 }
 
-// TestNewsKeepsAnEngineFromBeingAsked covers the three ways to hear of an engine: a
-// whole report, load nodeFixture, and the answer to an own poll.
+// Each of the three updates about an engine postpones the poll: a full report, a load
+// update, and the answer to an own poll.
 func TestNewsKeepsAnEngineFromBeingAsked(t *testing.T) {
 	b := newPeerFixture()
 	b.receiveThird(member.Suspect)
@@ -153,26 +156,26 @@
 		func() { b.node.PollAnswered(b.now, control.PollAnswer{BackEnd: "e", Report: b.report()}) },
 	} {
 		if polls := b.run(pollAge*3/4, true); len(polls) != 0 {
-			t.Fatalf("round %d: %d polls", round, len(polls))
+			t.Fatalf("update %d: %d polls before the last report is old", round, len(polls))
 		}
 		deliver()
 	}
 	if polls := b.run(pollAge*3/4, true); len(polls) != 0 {
-		t.Fatalf("%d polls after an answer", len(polls))
+		t.Fatalf("%d polls soon after the answer to a poll", len(polls))
 	}
 }
 
-// TestEngineNotInUseIsNotAsked covers a daemon whose callers do not use the model.
+// A daemon whose callers do not use the model must not poll its engine.
 func TestEngineNotInUseIsNotAsked(t *testing.T) {
 	b := newPeerFixture()
 	b.receiveThird(member.Suspect)
 	if polls := b.run(2*pollAge, false); len(polls) != 0 {
-		t.Fatalf("%d polls of an engine that nobody here uses", len(polls))
+		t.Fatalf("%d polls of an engine whose model has no requests", len(polls))
 	}
 }
 
-// TestFailedPollsOfOthersAreNoVerdict covers a daemon that cannot reach an engine that
-// another one acts for: it asks again, and does not hold the engine for down.
+// A daemon that cannot reach an engine that another one acts for polls it again, and
+// must not mark it down: only its own connection may be broken.
 func TestFailedPollsOfOthersAreNoVerdict(t *testing.T) {
 	b := newPeerFixture()
 	polled := 0
@@ -184,11 +187,12 @@
 		}
 	}
 	if polled <= control.DefaultSettings().PollFailures || b.candidates() != 1 {
-		t.Fatalf("asked %d times, %d candidates", polled, b.candidates())
+		t.Fatalf("engine polled %d times, %d candidates", polled, b.candidates())
 	}
 }
 
-// newLocalFixture returns a node that acts for the engine itself, which is in its own zone.
+// newLocalFixture returns a fixture whose node acts for the engine, which is in the
+// node's own zone.
 func newLocalFixture() *peerFixture {
 	b := &peerFixture{nodeFixture: newNodeFixture()}
 	b.receive(control.Message{})
@@ -198,7 +202,7 @@
 	return b
 }
 
-// sent returns what the node sends to the other daemon within a span.
+// sent returns the messages that the node sends while the time advances by span.
 func (b *peerFixture) sent(span time.Duration) []control.Message {
 	var messages []control.Message
 	for _, action := range tick[control.SendPeer](b.nodeFixture, span) {
@@ -208,7 +212,7 @@
 	return messages
 }
 
-// asks counts the messages among actions that ask for the engine.
+// countPollRequests counts the messages among actions that request a poll of the engine.
 func countPollRequests(actions []control.Action) int {
 	count := 0
 	for _, action := range actions {
@@ -219,22 +223,23 @@
 	return count
 }
 
-// TestOthersAreAskedWhenAnEngineGivesNoAnswer covers the daemon that acts for an
-// engine and is cut off from it: others poll it instead, until it is held for down.
+// A daemon that acts for an engine and cannot reach it has others poll the engine, until
+// it marks the engine down.
 func TestOthersAreAskedWhenAnEngineGivesNoAnswer(t *testing.T) {
 	b := newLocalFixture()
 	failed := control.PollAnswer{BackEnd: "e", Err: control.CallUnknown}
 	for failure := 1; failure < control.DefaultSettings().PollFailures; failure++ {
 		if count := countPollRequests(b.node.PollAnswered(b.now, failed)); count != 1 {
-			t.Fatalf("failure %d: %d messages to one other daemon", failure, count)
+			t.Fatalf("failed poll %d: %d poll requests to the one other daemon, want 1", failure, count)
 		}
 	}
 	if count := countPollRequests(b.node.PollAnswered(b.now, failed)); count != 0 {
-		t.Fatalf("%d messages about an engine that is held for down", count)
+		t.Fatalf("%d poll requests for an engine that is marked down", count)
 	}
 }
 
-// TestLeavingIsPassedOnFromAnotherDaemon covers the answer of the daemon that was asked.
+// A daemon that cannot reach its engine must publish that the engine is leaving when the
+// daemon that polled on its behalf reports so.
 func TestLeavingIsPassedOnFromAnotherDaemon(t *testing.T) {
 	b := newLocalFixture()
 	b.node.PollAnswered(b.now, control.PollAnswer{BackEnd: "e", Err: control.CallUnknown})
@@ -251,11 +256,11 @@
 			}
 		}
 	}
-	t.Fatal("the group is not told that the engine is leaving")
+	t.Fatal("the other daemon received no update that the engine is leaving")
 }
 
-// TestDaemonPollsForAnother covers the daemon that is asked. A second question a moment
-// later is answered with what the first poll told.
+// A daemon polls an engine on request. A second request shortly after is answered with
+// the result of the first poll.
 func TestDaemonPollsForAnother(t *testing.T) {
 	b := newPeerFixture()
 	request := func() []control.Action {
@@ -275,16 +280,16 @@
 		return reports, polls
 	}
 	if reports, polls := answers(request()); reports != 0 || polls != 1 {
-		t.Fatalf("%d reports and %d polls at the first question", reports, polls)
+		t.Fatalf("%d reports and %d polls at the first request", reports, polls)
 	}
 	if reports, polls := answers(request()); reports != 0 || polls != 0 {
-		t.Fatalf("%d reports and %d polls while the poll is under way", reports, polls)
+		t.Fatalf("%d reports and %d polls while the poll is in flight", reports, polls)
 	}
 	done := b.node.PollAnswered(b.now, control.PollAnswer{BackEnd: "e", Report: b.report()})
 	if reports, _ := answers(done); reports != 1 {
-		t.Fatalf("%d reports for one daemon that asked twice", reports)
+		t.Fatalf("%d reports for one daemon that requested a poll twice", reports)
 	}
 	if reports, polls := answers(request()); reports != 1 || polls != 0 {
-		t.Fatalf("%d reports and %d polls a moment later", reports, polls)
+		t.Fatalf("%d reports and %d polls right after the first poll", reports, polls)
 	}
 }
--- a/control/join.go
+++ b/control/join.go
@@ -2,28 +2,31 @@
 
 import "time"
 
-// joinState is how far a daemon has come that has just started, or that was
-// paused and cannot know what it missed.
+// joinState is the progress of a daemon that has just started, or that was paused and
+// may have missed updates.
 type joinState struct {
-	startedAt      time.Time
-	lastTick       time.Time
+	startedAt time.Time
+	lastTick  time.Time
+	// maxPeerVersion is the highest version up to which another daemon reported to be
+	// complete.
 	maxPeerVersion uint64
 	caughtUp       bool
 }
 
 const (
-	// aloneWaitFactor times JoinWait is how long a daemon that hears no other waits
-	// before it relies on what the platform alone told it.
+	// aloneWaitFactor times JoinWait is how long a daemon that receives no message of
+	// another one waits before it relies on the platform's data alone.
 	aloneWaitFactor = 3
-	// engineWaitFactor times JoinWait is how long a daemon waits for news of every engine:
-	// one that never answers anybody must not keep it from serving by the others.
+	// engineWaitFactor times JoinWait is how long a daemon waits for the state of every
+	// engine. An engine that answers no daemon must not keep it from serving with the
+	// others.
 	engineWaitFactor = 6
 )
 
-// tickJoin decides when this daemon knows enough to serve. A daemon that has
-// just started keeps nothing, and the platform's first answer may be stale, so
-// it waits until it has all that the others had when it joined. One that finds
-// that it was paused starts over.
+// tickJoin decides when this daemon is complete enough to serve. A daemon that has just
+// started holds no state, and the platform's first answer may be stale. It therefore
+// waits until it has everything that the others had when it joined. A daemon that
+// detects that it was paused starts over.
 func (n *Node) tickJoin(now time.Time) {
 	if n.join.startedAt.IsZero() || now.Sub(n.join.lastTick) > n.settings.PauseLimit {
 		n.join.startedAt = now
@@ -48,8 +51,9 @@
 	}
 }
 
-// unknownEngines returns the number of engines whose state is unknown. They are treated as down, so
-// requests for artifacts that only they hold are refused for lack of a replica.
+// unknownEngines returns the number of engines whose state is unknown. They are treated
+// as down, so requests for artifacts that only they hold are refused for lack of a
+// replica.
 func (n *Node) unknownEngines() int {
 	unknown := 0
 	for _, name := range n.catalog.engineNames() {
@@ -60,7 +64,7 @@
 	return unknown
 }
 
-// CaughtUp reports whether this daemon knows at least what the others knew when
+// CaughtUp reports whether this daemon has at least the state that the others had when
 // it started, and has not been paused since.
 func (n *Node) CaughtUp(now time.Time) bool {
 	return n.join.caughtUp && now.Sub(n.join.lastTick) <= n.settings.PauseLimit
--- a/control/leave.go
+++ b/control/leave.go
@@ -6,23 +6,24 @@
 	"github.com/wheatweir/wheatweir/member"
 )
 
-// leaveState is how far the news of this daemon's planned stop has come.
+// leaveState is the progress of announcing this daemon's planned stop to the members.
 type leaveState struct {
 	leaving bool
-	// told holds the members that have acknowledged a message sent after the
-	// stop began; such a message carries the news.
+	// acknowledged holds the members that have acknowledged a message sent after the
+	// stop began; such a message contains the leaving state.
 	acknowledged map[string]bool
-	// next is when those that have not are told again.
+	// next is when the announcement is sent again to the members that have not
+	// acknowledged it.
 	next time.Time
-	// acknowledgedSince is when all live members were first known to know.
+	// acknowledgedSince is since when all live members have acknowledged the stop.
 	acknowledgedSince time.Time
 }
 
-// leaveResendInterval is the time between two rounds of telling.
+// leaveResendInterval is the interval between two rounds of announcements.
 const leaveResendInterval = time.Second
 
-// Leave begins a planned stop: every live member is told, so that none names
-// this daemon to callers any more.
+// Leave begins a planned stop. It is announced to every live member, so that none
+// returns this daemon's address to callers any more.
 func (n *Node) Leave() []Action {
 	if !n.leave.leaving {
 		n.leave = leaveState{leaving: true, acknowledged: map[string]bool{}}
@@ -31,7 +32,7 @@
 	return n.takeActions()
 }
 
-// tickLeave tells the live members that have not acknowledged yet.
+// tickLeave sends the announcement to the live members that have not acknowledged it.
 func (n *Node) tickLeave(now time.Time) {
 	if !n.leave.leaving {
 		return
@@ -58,15 +59,15 @@
 	}
 }
 
-// recordLeaveAck notes that a member has answered since the stop began.
+// recordLeaveAck records that a member has acknowledged the leaving state.
 func (n *Node) recordLeaveAck(message *member.Message) {
 	if n.leave.leaving && message.Kind == member.Ack && message.KnowsLeaving {
 		n.leave.acknowledged[message.Sender.Name] = true
 	}
 }
 
-// LeaveKnownFor returns how long all live members have known that this daemon
-// is leaving; zero if some do not.
+// LeaveKnownFor returns for how long all live members have acknowledged that this daemon
+// is leaving; zero if some have not.
 func (n *Node) LeaveKnownFor(now time.Time) time.Duration {
 	if n.leave.acknowledgedSince.IsZero() {
 		return 0
--- a/control/node.go
+++ b/control/node.go
@@ -26,25 +26,27 @@
 	writes      writeState
 	demand      demandState
 	interest    map[string]*interest
-	// subscribers holds, for each model, the peer addresses that want the load
-	// of its back ends, and until when.
+	// subscribers holds, for each model, the peer addresses that subscribed to the load
+	// of its back ends, with the expiry time of each subscription.
 	subscribers map[string]map[string]time.Time
-	// lostZones holds since when zones have had no live daemon.
+	// lostZones maps each zone without a live daemon to the time since when it has had
+	// none.
 	lostZones map[string]time.Time
 	views     map[string]*route.Model
 	loads     *route.Loads
 	nextPlan  time.Time
-	// nextRenewal is when all subscriptions are sent again.
+	// nextRenewal is when all subscriptions are renewed.
 	nextRenewal time.Time
 	actions     []Action
 	join        joinState
 	leave       leaveState
 	fallback    fallbackPollState
-	// revision changes with everything that routing depends on.
+	// revision is incremented when anything changes that routing depends on.
 	revision uint64
 }
 
-// duties is who does what under one membership view.
+// duties holds the daemons among which duties are assigned, under one revision of the
+// membership. Daemons that are leaving are not among them.
 type duties struct {
 	revision  uint64
 	daemons   rendezvous.Set
@@ -53,7 +55,7 @@
 	zonePeers []string
 }
 
-// New returns a node that knows only itself.
+// New returns a node whose only member is itself.
 func New(self member.Member, settings Settings, random *rand.Rand) *Node {
 	node := &Node{
 		settings:    settings,
@@ -82,16 +84,17 @@
 // Members returns all known daemons.
 func (n *Node) Members() []member.Member { return n.detector.Members() }
 
-// Store returns the node's copy of the platform's objects.
+// Store returns the node's replica of the platform's objects.
 func (n *Node) Store() *replica.Store { return n.store }
 
-// SetSeeds names peer addresses to join through, besides the machine list.
+// SetSeeds sets the peer addresses through which the node joins, in addition to those in
+// the machine list.
 func (n *Node) SetSeeds(addresses []string) {
 	n.propagation.configuredSeeds = addresses
 	n.updateSeeds()
 }
 
-// Tick does what is due. It should be called about every 100 ms.
+// Tick performs the periodic work that is due. It should be called about every 100 ms.
 func (n *Node) Tick(now time.Time) []Action {
 	n.tickJoin(now)
 	for _, packet := range n.detector.Tick(now) {
@@ -113,7 +116,7 @@
 	return n.takeActions()
 }
 
-// Receive takes in a message from another daemon.
+// Receive handles a message from another daemon.
 func (n *Node) Receive(now time.Time, message Message) []Action {
 	if message.Probe != nil {
 		for _, packet := range n.detector.Receive(now, *message.Probe) {
@@ -174,8 +177,8 @@
 	n.emit(SendPeer{Address: address, Message: message})
 }
 
-// refreshDuties works out anew who does what when the members have changed.
-// Daemons that are leaving hand over their duties before they stop.
+// refreshDuties rebuilds the sets of daemons that duties are assigned to, if the members
+// have changed. Daemons that are leaving hand over their duties before they stop.
 func (n *Node) refreshDuties() {
 	if n.duties.byZone != nil && n.duties.revision == n.detector.Revision() {
 		return
@@ -202,14 +205,13 @@
 	n.revision++
 }
 
-// actsForBackEnd reports whether this daemon polls the back end and sends it
-// orders.
+// actsForBackEnd reports whether this daemon polls the back end and sends it orders.
 func (n *Node) actsForBackEnd(name, zone string) bool {
 	return n.actingDaemon(name, zone) == n.detector.Self().Name
 }
 
-// actingDaemon returns the daemon that acts for a back end: one of its zone if
-// there is one.
+// actingDaemon returns the daemon that acts for a back end: one in the back end's zone
+// if that zone has a live daemon, otherwise one from all zones.
 func (n *Node) actingDaemon(name, zone string) string {
 	set, found := n.duties.byZone[zone]
 	if !found {
@@ -246,8 +248,8 @@
 	return known.PeerAddress
 }
 
-// sortedNames returns the keys of a map in a fixed order, so that the same
-// events always give the same actions.
+// sortedNames returns the keys of a map in a fixed order, so that the same events always
+// produce the same actions.
 func sortedNames[V any](named map[string]V) []string {
 	names := make([]string, 0, len(named))
 	for name := range named {
--- a/control/node_test.go
+++ b/control/node_test.go
@@ -11,7 +11,7 @@
 	"github.com/wheatweir/wheatweir/replica"
 )
 
-// nodeFixture drives one node that hears no other daemon.
+// nodeFixture drives one node that receives no message of another daemon.
 type nodeFixture struct {
 	node *control.Node
 	now  time.Time
@@ -23,7 +23,7 @@
 	return &nodeFixture{node: control.New(self, control.DefaultSettings(), rand.New(rand.NewPCG(1, 1))), now: now}
 }
 
-// tick runs the node for a span and returns the actions of one type.
+// tick advances the time by span and returns the node's actions of one type.
 func tick[T control.Action](a *nodeFixture, span time.Duration) []T {
 	var found []T
 	for end := a.now.Add(span); a.now.Before(end); a.now = a.now.Add(100 * time.Millisecond) {
@@ -36,7 +36,7 @@
 	return found
 }
 
-// learn gives the node a model, an engine and the engine's report.
+// addModelAndEngine delivers a model, an engine and the engine's report to the node.
 func (a *nodeFixture) addModelAndEngine() {
 	machine := api.Machine{Name: "e", Role: api.RoleEngine, Zone: "z", State: api.MachineLive, MemoryBytes: 100, ChecksFence: true}
 	model := api.Model{Name: "m", Serving: "v1", Versions: []api.Version{{Name: "v1", Bytes: 10}}, MinReplicas: 1}
@@ -53,22 +53,22 @@
 	a.addModelAndEngine()
 	writes := tick[control.Write](a, 3*time.Second)
 	if len(writes) != 1 {
-		t.Fatalf("%d writes before the first was answered", len(writes))
+		t.Fatalf("%d writes before the first was answered, want 1", len(writes))
 	}
 	key := writes[0].Object.Key
 	a.node.WriteAnswered(a.now, control.WriteAnswer{Key: key, Err: control.CallUnknown})
 	reads := tick[control.Read](a, 3*time.Second)
 	if len(reads) != 1 || reads[0].Key != key {
-		t.Fatalf("reads %v", reads)
+		t.Fatalf("reads %v after an ambiguous write, want one of its object", reads)
 	}
 	if again := tick[control.Write](a, 3*time.Second); len(again) != 0 {
-		t.Fatal("a second write was made before the first was settled")
+		t.Fatal("a second write started before the first was read back")
 	}
 	stored := writes[0].Object
 	stored.Version = 3
 	a.node.ReadAnswered(a.now, control.ReadAnswer{Key: key, Object: stored})
 	if again := tick[control.Write](a, 3*time.Second); len(again) != 0 {
-		t.Fatal("the write was made twice")
+		t.Fatal("the write was repeated although the read showed it as stored")
 	}
 }
 
@@ -78,21 +78,21 @@
 	a.addModelAndEngine()
 	tick[control.Write](a, 10*time.Second)
 	if !a.node.CaughtUp(a.now) {
-		t.Fatal("a node that is alone never caught up")
+		t.Fatal("a node without other daemons never caught up")
 	}
 	a.now = a.now.Add(30 * time.Second)
 	if a.node.CaughtUp(a.now) {
-		t.Fatal("a node that did not run for 30 s claims to be caught up")
+		t.Fatal("a node that did not run for 30 s reports that it is caught up")
 	}
 	tick[control.Write](a, 200*time.Millisecond)
 	if a.node.CaughtUp(a.now) {
-		t.Fatal("a node that was paused did not join anew")
+		t.Fatal("a node that was paused did not join again")
 	}
 }
 
-// TestNodeServesOnceItHasNewsOfTheEngines covers a daemon that has its catalog and has
-// waited long enough, but has not informed yet whether the engine is up: it would refuse
-// every request. An engine of which nothing is ever informed holds it up for a while only.
+// A daemon that has its catalog and has waited long enough, but has no state of the
+// engine yet, would refuse every request. It must not serve before. An engine that never
+// answers delays it for a limited time only.
 func TestNodeServesOnceItHasNewsOfTheEngines(t *testing.T) {
 	a := newNodeFixture()
 	machine := api.Machine{Name: "e", Role: api.RoleEngine, Zone: "z", State: api.MachineLive, MemoryBytes: 100}
@@ -102,18 +102,18 @@
 	}}})
 	tick[control.Write](a, 8*time.Second)
 	if a.node.CaughtUp(a.now) {
-		t.Fatal("a node without news of the engine claims to be caught up")
+		t.Fatal("a node without the engine's state reports that it is caught up")
 	}
 	informed := newNodeFixture()
 	tick[control.Write](informed, time.Second)
 	informed.addModelAndEngine()
 	tick[control.Write](informed, 8*time.Second)
 	if !informed.node.CaughtUp(informed.now) {
-		t.Fatal("a node with news of the engine does not serve")
+		t.Fatal("a node with the engine's state is not caught up")
 	}
 	tick[control.Write](a, 5*time.Second)
 	if !a.node.CaughtUp(a.now) {
-		t.Fatal("an engine that nobody hears keeps the node from serving for ever")
+		t.Fatal("an engine without a state keeps the node from catching up beyond the limit")
 	}
 }
 
@@ -126,7 +126,7 @@
 	stored.Version = 3
 	a.node.WriteAnswered(a.now, control.WriteAnswer{Key: stored.Key, Object: stored})
 	if got := len(a.node.Table(a.now).Models["m"].Candidates); got != 1 {
-		t.Fatalf("%d candidates", got)
+		t.Fatalf("%d candidates, want 1", got)
 	}
 	a.node.PollAnswered(a.now, control.PollAnswer{BackEnd: "e", Report: api.Report{BackEnd: "e", Boot: "b", Sequence: 2, Slots: 4, Leaving: true}})
 	if got := len(a.node.Table(a.now).Models["m"].Candidates); got != 0 {
--- a/control/planning.go
+++ b/control/planning.go
@@ -28,20 +28,21 @@
 const (
 	fastTimeConstant = 4 * time.Second
 	slowTimeConstant = 2 * time.Minute
-	// remoteDemandTTL is how long another daemon's demand counts.
+	// remoteDemandTTL is how long a demand that another daemon reported is counted.
 	remoteDemandTTL = 25 * time.Second
-	// demandRefreshInterval is how long an unchanged demand is not sent again.
+	// demandRefreshInterval is the interval at which an unchanged demand is sent again.
 	demandRefreshInterval = 10 * time.Second
-	// minDemandChangeShare is the change that is sent at once, as a share of the last,
-	// and minDemandChange the least such change in requests.
+	// minDemandChangeShare is the change that is reported at once, as a share of the
+	// last reported demand. minDemandChange is the minimum of that change, in requests.
 	minDemandChangeShare = 0.25
 	minDemandChange      = 1.0
-	// minReportedDemand is the demand under which nothing is reported.
+	// minReportedDemand is the demand below which zero is reported and the model is
+	// dropped.
 	minReportedDemand = 0.01
 )
 
-// demandState holds the demand seen here and, for models that this daemon
-// plans, the demand reported by all.
+// demandState holds the local demand and, for models that this daemon plans, the demand
+// reported by all daemons.
 type demandState struct {
 	local  map[string]*localDemand
 	remote map[string]map[string]remoteDemand
@@ -49,14 +50,14 @@
 	next   time.Time
 }
 
-// localDemand is the demand for one model here, and what was last sent of it.
+// localDemand is the local demand for one model, and the value that was last reported.
 type localDemand struct {
 	average
 	sent   float64
 	sentAt time.Time
 }
 
-// due reports whether the demand is worth a message.
+// due reports whether the demand is to be sent now.
 func (d *localDemand) due(now time.Time) bool {
 	if now.Sub(d.sentAt) >= demandRefreshInterval || d.value < minReportedDemand {
 		return true
@@ -75,7 +76,7 @@
 	slow average
 }
 
-// ObserveDemand takes in the requests in progress and waiting for a model.
+// ObserveDemand records the number of requests in progress and waiting for a model.
 func (n *Node) ObserveDemand(now time.Time, model string, requests float64) {
 	known := n.demand.local[model]
 	if known == nil {
@@ -169,9 +170,9 @@
 	n.execute(now, placement.Plan(snapshot))
 }
 
-// plannedBackEnds returns the engines as the planner sees them. An engine is
-// offered only after it was heard of, so that no record is made for a machine
-// that never started.
+// plannedBackEnds returns the input of the planner for each engine. An engine without a
+// known state counts as down, so that no record is created for a machine that never
+// started.
 func (n *Node) plannedBackEnds(now time.Time) []placement.BackEnd {
 	names := n.catalog.engineNames()
 	backEnds := make([]placement.BackEnd, 0, len(names))
@@ -188,8 +189,8 @@
 	return backEnds
 }
 
-// currentReport returns the newest report of the present boot of a back end, or
-// nil. What an earlier boot reported is no longer there.
+// currentReport returns the newest report of a back end if it is from the present boot,
+// otherwise nil. Artifacts that an earlier boot reported are no longer loaded.
 func (n *Node) currentReport(name string) *api.Report {
 	state := n.backEnds[name]
 	entry, observed := n.detector.BackEnd(name)
@@ -199,7 +200,8 @@
 	return &state.report
 }
 
-// health joins what the group says of a back end with the machine list.
+// health combines the state of a back end that the members share with the machine list
+// and the last report.
 func (n *Node) health(name string) placement.Health {
 	entry, observed := n.detector.BackEnd(name)
 	if !observed || entry.State == member.BackEndDown {
@@ -218,7 +220,7 @@
 	}
 }
 
-// updateLostZones keeps since when each zone with engines has had no live daemon.
+// updateLostZones records since when each zone with engines has had no live daemon.
 func (n *Node) updateLostZones(now time.Time) {
 	for _, name := range n.catalog.engineNames() {
 		zone := n.catalog.machines[name].Zone
@@ -233,8 +235,8 @@
 	}
 }
 
-// plannedHealth is the health of a back end for planning. One that is down
-// together with all daemons of its zone is expected back for a while.
+// plannedHealth is the health of a back end for planning. A back end that is down
+// together with all daemons of its zone counts as suspended for LostZoneWait.
 func (n *Node) plannedHealth(now time.Time, name, zone string) placement.Health {
 	health := n.health(name)
 	lostSince, lost := n.lostZones[zone]
@@ -244,7 +246,7 @@
 	return health
 }
 
-// execute groups operations by record and starts their writes.
+// execute groups operations by placement record and starts their writes.
 func (n *Node) execute(now time.Time, operations []placement.Operation) {
 	var order []string
 	byBackEnd := map[string][]placement.Operation{}
--- a/control/propagation.go
+++ b/control/propagation.go
@@ -8,26 +8,28 @@
 	"github.com/wheatweir/wheatweir/rendezvous"
 )
 
-// treeFanout is how many daemons each daemon passes changes on to. With four,
-// 64 daemons of a zone are three steps deep and each change is sent about once
+// treeFanout is the number of daemons to which each daemon forwards changes. With four,
+// a tree of 64 daemons of a zone is three steps deep and each change is sent about once
 // for each daemon.
 const treeFanout = 4
 
-// maxWatchBackoff bounds the pause after failed watches.
+// maxWatchBackoff bounds the backoff after failed watches.
 const maxWatchBackoff = 5 * time.Second
 
-// watchState is the duty of watching the platform.
+// watchState is the state of this daemon's watch of the platform.
 type watchState struct {
 	waiting bool
 	next    time.Time
 	backoff time.Duration
 }
 
-// propagationState is the duty of passing changes on to other daemons.
+// propagationState is the state of forwarding changes to other daemons.
 type propagationState struct {
-	// sentThrough is the version that the tree children were last sent.
+	// sentThrough is the version up to which changes were last sent to the children in
+	// the tree.
 	sentThrough uint64
-	// peerThrough is what peers were last heard to be complete through.
+	// peerThrough maps each peer to the version up to which it last reported to be
+	// complete.
 	peerThrough     map[string]uint64
 	configuredSeeds []string
 }
@@ -50,7 +52,7 @@
 	n.emit(FetchChanges{Since: n.store.Through(), Wait: n.settings.WatchWait})
 }
 
-// ChangesAnswered takes in the answer to FetchChanges.
+// ChangesAnswered handles the answer to FetchChanges.
 func (n *Node) ChangesAnswered(now time.Time, answer ChangesAnswer) []Action {
 	n.watch.waiting = false
 	if answer.Err != CallOK {
@@ -65,9 +67,9 @@
 	return n.takeActions()
 }
 
-// tickPropagation passes new changes on to this daemon's children in the tree of
-// its zone. The tree follows from the members, so it needs no upkeep; a daemon
-// that is missed asks for the changes when it next hears a higher version.
+// tickPropagation forwards new changes to this daemon's children in the tree of its
+// zone. The tree is derived from the members, so it needs no maintenance. A daemon that
+// is missed pulls the changes when it next receives a higher version.
 func (n *Node) tickPropagation() {
 	through := n.store.Through()
 	if through <= n.propagation.sentThrough {
@@ -87,8 +89,8 @@
 	}
 }
 
-// treeChildren returns the daemons that this one passes changes on to. The
-// watcher of the zone is the root.
+// treeChildren returns the daemons to which this one forwards changes. The watcher of
+// the zone is the root.
 func (n *Node) treeChildren() []string {
 	names := slices.Clone(n.duties.zonePeers)
 	slices.SortFunc(names, func(a, b string) int {
@@ -113,8 +115,8 @@
 	return names[first:last]
 }
 
-// exchange compares what both sides are complete through. The one that is
-// behind asks for the changes; each probe message makes both compare.
+// syncWithPeer compares the versions up to which both sides are complete. The side that
+// is behind pulls the changes. Each probe message causes the comparison on its receiver.
 func (n *Node) syncWithPeer(message Message) {
 	n.propagation.peerThrough[message.From] = message.Through
 	n.join.maxPeerVersion = max(n.join.maxPeerVersion, message.Through)
@@ -128,7 +130,8 @@
 	}
 }
 
-// updateSeeds takes the entry machines of the machine list as seeds.
+// updateSeeds uses the entry machines of the machine list as seeds, in addition to the
+// configured ones.
 func (n *Node) updateSeeds() {
 	seeds := slices.Clone(n.propagation.configuredSeeds)
 	for _, machine := range n.catalog.machines {
--- a/control/reportdistribution.go
+++ b/control/reportdistribution.go
@@ -9,9 +9,9 @@
 	"github.com/wheatweir/wheatweir/api"
 )
 
-// sentReportState is what was last passed on about one back end.
+// sentReportState is what was last sent to other daemons about one back end.
 type sentReportState struct {
-	// whole is the last whole report, sent at fullReportAt.
+	// fullReport is the last full report, sent at fullReportAt.
 	fullReport   api.Report
 	fullReportAt time.Time
 	// requests is the load last sent, at loadAt.
@@ -22,25 +22,27 @@
 // interest is the use of one model by callers of this daemon.
 type interest struct {
 	until time.Time
-	// subscribed says that the subscription was sent since the last renewal.
+	// subscribed means that the subscription was sent since the last renewal.
 	subscribed bool
 }
 
 const (
-	// interestTTL is how long after a request this daemon wants to hear of
-	// the load of a model's back ends.
+	// interestTTL is how long after a request this daemon subscribes to the load of the
+	// model's back ends.
 	interestTTL = 30 * time.Second
-	// subscriptionInterval is the time between two subscriptions, and
-	// subscriptionTTL is how long one holds.
+	// subscriptionInterval is the time between two renewals of the subscriptions, and
+	// subscriptionTTL is how long a subscription is valid.
 	subscriptionInterval = 30 * time.Second
 	subscriptionTTL      = 75 * time.Second
-	// loadRefreshInterval is how long an unchanged load is not sent again.
+	// loadRefreshInterval is the time since the last load update after which a change
+	// below LoadChange is sent too.
 	loadRefreshInterval = 10 * time.Second
 )
 
-// distributeReport passes a report on. A whole report goes to every daemon that may
-// route or plan the models on the back end, when more than the load changed or
-// the last is old. Load alone goes to the daemons that use those models now.
+// distributeReport sends a report to other daemons. A full report goes to every daemon
+// that may route to or plan the models on the back end, when more than the load changed
+// or the last full report is old. The load alone goes to the daemons that use those
+// models now.
 func (n *Node) distributeReport(now time.Time, name string, state *backEndState) {
 	report := &state.report
 	sent := &state.sent
@@ -66,8 +68,8 @@
 	}
 }
 
-// loadUpdateDue reports whether the load has moved enough, or long enough ago, to
-// be worth a message.
+// loadUpdateDue reports whether the load has changed enough, or was sent long enough
+// ago, for an update.
 func (n *Node) loadUpdateDue(now time.Time, sent *sentReportState, report *api.Report) bool {
 	age := now.Sub(sent.loadAt)
 	if age < n.settings.LoadPause {
@@ -91,10 +93,10 @@
 	return models
 }
 
-// audience returns the daemons that want a whole report: the homes, in every
-// zone, of each model that the back end holds or should hold, and the daemon that
-// plans the model. An engine that came back empty must be reported to those who
-// believe that it still has their models.
+// reportRecipients returns the daemons that receive a full report: the homes, in every
+// zone, of each model that the back end holds or should hold, and the daemon that plans
+// the model. A restarted engine that is empty must be reported to the daemons that still
+// route to it for those models.
 func (n *Node) reportRecipients(name string, report *api.Report) []string {
 	models := modelsOf(report)
 	for _, entry := range n.catalog.placements[name].placement.Entries {
@@ -115,8 +117,7 @@
 	return slices.DeleteFunc(names, func(name string) bool { return name == n.detector.Self().Name })
 }
 
-// loadSubscribers returns the peer addresses that subscribed to a model on the
-// back end.
+// loadSubscribers returns the peer addresses that subscribed to a model on the back end.
 func (n *Node) loadSubscribers(now time.Time, report *api.Report) []string {
 	var addresses []string
 	for _, model := range modelsOf(report) {
@@ -132,8 +133,8 @@
 	return slices.Compact(addresses)
 }
 
-// mergeLoad takes in a report of load alone. It is dropped unless it follows
-// the known whole report.
+// mergeLoad merges an update of load alone into the report of the back end. It is
+// discarded unless it follows the last full report of the same boot.
 func (n *Node) mergeLoad(now time.Time, load LoadReport) {
 	state := n.backEnds[load.BackEnd]
 	if state == nil || !state.known || bootHash(state.report.Boot) != load.BootHash || load.Sequence <= state.report.Sequence {
@@ -144,7 +145,7 @@
 	n.recordLoad(now, state)
 }
 
-// Interested notes that this daemon got a request for a model.
+// Interested records that this daemon received a request for a model.
 func (n *Node) Interested(now time.Time, model string) {
 	known := n.interest[model]
 	if known == nil {
@@ -154,9 +155,9 @@
 	known.until = now.Add(interestTTL)
 }
 
-// tickSubscriptions subscribes to the load of the models in use here: at once
-// for a model that was not in use, and for all models together at intervals, so
-// that one message to a daemon carries many.
+// tickSubscriptions subscribes to the load of the models in use at this daemon: at once
+// for a model that was not in use, and for all models together at intervals, so that one
+// message to a daemon carries many.
 func (n *Node) tickSubscriptions(now time.Time) {
 	renew := !now.Before(n.nextRenewal)
 	if renew {
@@ -187,8 +188,8 @@
 	}
 }
 
-// subscribed notes a subscription. A new subscriber gets the whole reports at
-// once, since it may not be one that gets them anyway.
+// addSubscriber records a subscription. A new subscriber is sent the full reports at
+// once, since it may not be one of the daemons that receive them otherwise.
 func (n *Node) addSubscriber(now time.Time, address, model string) {
 	byAddress := n.subscribers[model]
 	if byAddress == nil {
--- a/control/table.go
+++ b/control/table.go
@@ -11,16 +11,15 @@
 	"github.com/wheatweir/wheatweir/route"
 )
 
-// observationTTL is how old a report may be to count as an observation of what
-// an engine serves.
+// observationTTL is the maximum age of a report that counts as an observation of what an
+// engine serves.
 const observationTTL = 150 * time.Second
 
 // Revision changes whenever Table would return something else.
 func (n *Node) Revision() uint64 { return n.revision + n.detector.Revision() }
 
-// Table returns the routing view of what is known now. Only the models whose
-// back ends changed are worked out anew; the others are shared with the last
-// table.
+// Table returns the routing view of the present state. Only the models whose back ends
+// changed are rebuilt; the others are shared with the last table.
 func (n *Node) Table(now time.Time) *route.Table {
 	n.markChangedHealth(now)
 	for name := range n.catalog.dirty {
@@ -37,8 +36,8 @@
 	return table
 }
 
-// markChangedHealth marks the back ends whose health or boot changed, or whose
-// report has become too old, since the last table.
+// markChangedHealth marks the back ends whose health or boot changed, or whose report
+// has expired, since the last table.
 func (n *Node) markChangedHealth(now time.Time) {
 	for _, name := range n.catalog.engineNames() {
 		state := n.backEnd(name)
@@ -66,8 +65,8 @@
 	n.views[name] = view
 }
 
-// addCandidates adds the replicas of a model on one back end. A back end that
-// is leaving is left out, whatever its record says.
+// addCandidates adds the replicas of a model on one back end. A back end that is leaving
+// is excluded, whatever its placement record contains.
 func (n *Node) addCandidates(now time.Time, model *route.Model, name string) {
 	if n.health(name) != placement.Up {
 		return
@@ -95,8 +94,8 @@
 	}
 }
 
-// adaptersOn returns the adapters that the engine was observed to hold, or, if
-// it was not observed, those that it should hold.
+// adaptersOn returns the adapters that the engine was observed to hold. Without a recent
+// observation it returns those that the placement record lists.
 func adaptersOn(record *api.Placement, weights api.Artifact, fresh bool, state *backEndState) []string {
 	var names []string
 	for i := range record.Entries {
@@ -130,8 +129,8 @@
 	return view
 }
 
-// Addresses returns the caller addresses for a model in a zone: its homes, or
-// for no model all daemons of the zone, less those that are leaving.
+// Addresses returns the caller addresses for a model in a zone: those of the model's
+// homes. Daemons that are leaving are not among them.
 func (n *Node) Addresses(model, zone string) []string {
 	var addresses []string
 	for _, home := range n.Homes(model, zone) {
@@ -140,7 +139,7 @@
 	return addresses
 }
 
-// BackEndStatus is what an operator sees of a back end.
+// BackEndStatus is the state of a back end that is shown to operators.
 type BackEndStatus struct {
 	Machine   api.Machine
 	Health    placement.Health
@@ -206,13 +205,14 @@
 	return all
 }
 
-// Learned takes in an object that an operator's command has just written here.
+// Learned merges an object that an operator's command has just written through this
+// daemon.
 func (n *Node) Learned(object api.Object) []Action {
 	n.mergeObject(object)
 	return n.takeActions()
 }
 
-// Machines returns the platform's machine list as known here, sorted by name.
+// Machines returns this daemon's replica of the platform's machine list, sorted by name.
 func (n *Node) Machines() []api.Machine {
 	var all []api.Machine
 	for _, name := range sortedNames(n.catalog.machines) {
--- a/control/writes.go
+++ b/control/writes.go
@@ -10,9 +10,9 @@
 	"github.com/wheatweir/wheatweir/placement"
 )
 
-// writeState is the duty of changing placement records. At most one write of
-// an object is under way, and a write whose answer was lost is settled by
-// reading the object back before the next.
+// writeState is the state of this daemon's writes of placement records. At most one
+// write of an object is in flight. After a write whose answer was lost, the object is
+// read back before the next write.
 type writeState struct {
 	pending map[api.Key]*pendingWrite
 	// tokens is how many writes may start now; it grows by rate a second.
@@ -20,36 +20,37 @@
 	rate       float64
 	refilledAt time.Time
 	counter    uint64
-	// paused is until when no write starts, and refusals counts the refused
-	// writes since the last one that was taken.
+	// backoffUntil is the time before which no write starts. refusals counts the refused
+	// writes since the last accepted one.
 	backoffUntil time.Time
 	refusals     int
 }
 
 type pendingWrite struct {
 	writeID string
-	// release waits for a fresh read of the record that it relies on.
+	// release is the release operation that waits for a fresh read of the record that it
+	// relies on; nil for a write.
 	release *placement.Operation
-	// readKey is the object whose read is outstanding or due.
+	// readKey is the object that is read or is to be read.
 	readKey      api.Key
 	readDue      time.Time
 	readInFlight bool
 }
 
 const (
-	// writeBurst is how many writes a daemon may make at once.
+	// writeBurst is the maximum number of writes that a daemon may start at once.
 	writeBurst = 8
-	// A daemon starts at initialWritesPerSecond writes a second, adds writesPerSecondStep
-	// for each that the platform takes, and halves its rate for each that it
-	// refuses. Few daemons with much to write so get most of the platform's
-	// rate, and many get equal shares of it.
+	// A daemon starts at initialWritesPerSecond, adds writesPerSecondStep for each write
+	// that the platform accepts, and halves its rate for each that it refuses. A few
+	// daemons with many writes thus get most of the platform's rate, and many daemons
+	// get equal shares of it.
 	initialWritesPerSecond = 2.0
 	writesPerSecondStep    = 0.2
 	maxWritesPerSecond     = 10.0
-	// readBackoff is the pause before a failed read is made again.
+	// readBackoff is the wait before a failed read is retried.
 	readBackoff = time.Second
-	// refusalBackoff is the pause of all writes after the platform refused one;
-	// it doubles with each further refusal up to maxRefusalBackoff.
+	// refusalBackoff is the wait before any further write after the platform refused
+	// one. It doubles with each further refusal up to maxRefusalBackoff.
 	refusalBackoff    = time.Second
 	maxRefusalBackoff = 8 * time.Second
 )
@@ -76,7 +77,7 @@
 	return keys
 }
 
-// refillWrites lets writes through at the present rate.
+// refillWrites adds write tokens at the present rate.
 func (n *Node) refillWrites(now time.Time) {
 	if n.writes.refilledAt.IsZero() {
 		n.writes.rate = initialWritesPerSecond
@@ -87,8 +88,8 @@
 	n.writes.tokens = min(n.writes.tokens, writeBurst)
 }
 
-// backOffWrites reacts to a write that the platform refused. The rate stays at
-// least at half of an equal share of the budget.
+// backOffWrites reacts to a write that the platform refused. The rate does not fall
+// below half of an equal share of the budget.
 func (n *Node) backOffWrites(now time.Time) {
 	share := n.settings.WritesPerSecond / float64(max(len(n.detector.Live()), 1))
 	n.writes.rate = max(n.writes.rate/2, share/2)
@@ -97,11 +98,11 @@
 	n.writes.backoffUntil = now.Add(n.jitter(backoff))
 }
 
-// maxRefusalDoublings keeps the doubling within the range of a duration.
+// maxRefusalDoublings keeps the doubled backoff within the range of a duration.
 const maxRefusalDoublings = 10
 
-// write starts a conditional update of a placement record. It returns false
-// if the write has to wait for its turn.
+// write starts a conditional update of a placement record. It returns false if no write
+// may start now or one of the same record is pending.
 func (n *Node) write(now time.Time, record api.Placement, version uint64, deleted bool) bool {
 	key := api.Key{Kind: api.KindPlacement, Name: record.BackEnd}
 	if n.writes.tokens < 1 || now.Before(n.writes.backoffUntil) || n.writes.pending[key] != nil {
@@ -128,7 +129,7 @@
 	n.emit(Write{Object: object, IfVersion: version})
 }
 
-// WriteAnswered takes in the answer to Write.
+// WriteAnswered handles the answer to Write.
 func (n *Node) WriteAnswered(now time.Time, answer WriteAnswer) []Action {
 	pending := n.writes.pending[answer.Key]
 	switch answer.Err {
@@ -138,7 +139,7 @@
 		n.writes.rate = min(n.writes.rate+writesPerSecondStep, maxWritesPerSecond)
 		n.writes.refusals = 0
 		if answer.Err == CallConflict {
-			n.logDecision("placement", "Write lost a race.", "object", answer.Key.String(), "winner", answer.Object.Writer, "version", answer.Object.Version)
+			n.logDecision("placement", "Write rejected; another write of the object came first.", "object", answer.Key.String(), "winner", answer.Object.Writer, "version", answer.Object.Version)
 		}
 	case CallNotDone:
 		delete(n.writes.pending, answer.Key)
@@ -158,7 +159,7 @@
 	}
 }
 
-// ReadAnswered takes in the answer to Read.
+// ReadAnswered handles the answer to Read.
 func (n *Node) ReadAnswered(now time.Time, answer ReadAnswer) []Action {
 	for _, key := range n.pendingKeys() {
 		pending := n.writes.pending[key]
@@ -182,7 +183,7 @@
 	return n.takeActions()
 }
 
-// startRelease asks for a fresh read of the record that a release relies on.
+// startRelease starts a fresh read of the record that a release relies on.
 func (n *Node) startRelease(now time.Time, operation placement.Operation) {
 	key := api.Key{Kind: api.KindPlacement, Name: operation.BackEnd}
 	if n.writes.pending[key] != nil {
@@ -195,20 +196,20 @@
 	}
 }
 
-// finishRelease writes a release if the record read afresh still allows it.
+// finishRelease writes a release if the record just read still allows it.
 func (n *Node) finishRelease(now time.Time, operation placement.Operation, reliedOn api.Object) {
 	if reliedOn.Deleted || reliedOn.Version == 0 {
 		return
 	}
 	record, err := api.Decode[api.Placement](reliedOn)
 	if err != nil || !placement.MayRely(record, operation.ReliesOnArtifact) {
-		n.logDecision("placement", "Release given up.", "back_end", operation.BackEnd, "relies_on", operation.ReliesOn)
+		n.logDecision("placement", "Release cancelled; the replica that it relies on may not be relied on.", "back_end", operation.BackEnd, "relies_on", operation.ReliesOn)
 		return
 	}
 	n.applyOperations(now, operation.BackEnd, []placement.Operation{operation})
 }
 
-// applyOperations writes the operations of one round on one record.
+// applyOperations writes the operations of one planning round on one record.
 func (n *Node) applyOperations(now time.Time, backEnd string, operations []placement.Operation) {
 	known := n.catalog.placements[backEnd]
 	machine, found := n.catalog.machines[backEnd]
