--- a/control/fallbackpoll_test.go
+++ b/control/fallbackpoll_test.go
@@ -98,10 +98,10 @@
 // pollAge is the age of the last report from which on the node polls an engine itself.
 var pollAge = control.DefaultSettings().NewsAge
 
-// While no daemon is suspected, a node relies on the daemon that acts for the engine,
-// however old the last report is. Polling without need would multiply the control
-// traffic. Once a daemon is suspected, the node polls the engine and must respect that
-// it is leaving.
+// TestEngineIsAskedOnlyInDoubt guards against polls while no daemon is suspected, which
+// would multiply the control traffic: a node then relies on the daemon that acts for the
+// engine, however old the last report is. Once a daemon is suspected, the node polls the
+// engine itself, and must stop routing to it when it reports that it is leaving.
 func TestEngineIsAskedOnlyInDoubt(t *testing.T) {
 	b := newPeerFixture()
 	if polls := b.run(20*time.Second, true); len(polls) != 0 {
@@ -122,8 +122,9 @@
 	}
 }
 
-// A death that is reported without a suspicion before it starts the polls too. They must
-// end once the duties of the lost daemon have been taken over.
+// TestEngineIsAskedAfterALoss covers a death that is reported without a suspicion before
+// it. The node must poll the engine then too, and stop once the duties of the lost
+// daemon have surely been taken over.
 func TestEngineIsAskedAfterALoss(t *testing.T) {
 	b := newPeerFixture()
 	b.run(pollAge, true)
@@ -145,8 +146,8 @@
 	}
 }
 
-// Each of the three updates about an engine postpones the poll: a full report, a load
-// update, and the answer to an own poll.
+// TestNewsKeepsAnEngineFromBeingAsked covers the three updates about an engine that
+// postpone a poll: a full report, a load update, and the answer to an own poll.
 func TestNewsKeepsAnEngineFromBeingAsked(t *testing.T) {
 	b := newPeerFixture()
 	b.receiveThird(member.Suspect)
@@ -165,7 +166,8 @@
 	}
 }
 
-// A daemon whose callers do not use the model must not poll its engine.
+// TestEngineNotInUseIsNotAsked covers a daemon whose callers do not use the model: it
+// must not poll the engine.
 func TestEngineNotInUseIsNotAsked(t *testing.T) {
 	b := newPeerFixture()
 	b.receiveThird(member.Suspect)
@@ -174,8 +176,8 @@
 	}
 }
 
-// A daemon that cannot reach an engine that another one acts for polls it again, and
-// must not mark it down: only its own connection may be broken.
+// TestFailedPollsOfOthersAreNoVerdict covers a daemon that cannot reach an engine that
+// another one acts for. It polls again and must not mark the engine down.
 func TestFailedPollsOfOthersAreNoVerdict(t *testing.T) {
 	b := newPeerFixture()
 	polled := 0
@@ -223,8 +225,8 @@
 	return count
 }
 
-// A daemon that acts for an engine and cannot reach it has others poll the engine, until
-// it marks the engine down.
+// TestOthersAreAskedWhenAnEngineGivesNoAnswer covers a daemon that acts for an engine
+// and cannot reach it: it requests polls from others, until it marks the engine down.
 func TestOthersAreAskedWhenAnEngineGivesNoAnswer(t *testing.T) {
 	b := newLocalFixture()
 	failed := control.PollAnswer{BackEnd: "e", Err: control.CallUnknown}
@@ -238,8 +240,9 @@
 	}
 }
 
-// A daemon that cannot reach its engine must publish that the engine is leaving when the
-// daemon that polled on its behalf reports so.
+// TestLeavingIsPassedOnFromAnotherDaemon covers the report of a daemon that polled on
+// request. If it shows that the engine is leaving, the node that acts for the engine
+// must publish that.
 func TestLeavingIsPassedOnFromAnotherDaemon(t *testing.T) {
 	b := newLocalFixture()
 	b.node.PollAnswered(b.now, control.PollAnswer{BackEnd: "e", Err: control.CallUnknown})
@@ -259,8 +262,8 @@
 	t.Fatal("the other daemon received no update that the engine is leaving")
 }
 
-// A daemon polls an engine on request. A second request shortly after is answered with
-// the result of the first poll.
+// TestDaemonPollsForAnother covers the daemon that receives a poll request. A second
+// request shortly after is answered with the result of the first poll.
 func TestDaemonPollsForAnother(t *testing.T) {
 	b := newPeerFixture()
 	request := func() []control.Action {
--- a/control/node_test.go
+++ b/control/node_test.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// A daemon that has its catalog and has waited long enough, but has no state of the
-// engine yet, would refuse every request. It must not serve before. An engine that never
-// answers delays it for a limited time only.
+// TestNodeServesOnceItHasNewsOfTheEngines covers a daemon that has its catalog and has
+// waited long enough, but has no state of the engine yet. If it served, it would refuse
+// every request. An engine that never answers delays it for a limited time only.
 func TestNodeServesOnceItHasNewsOfTheEngines(t *testing.T) {
 	a := newNodeFixture()
 	machine := api.Machine{Name: "e", Role: api.RoleEngine, Zone: "z", State: api.MachineLive, MemoryBytes: 100}
