--- a/control/backends.go
+++ b/control/backends.go
@@ -9,23 +9,26 @@
 	"github.com/wheatweir/wheatweir/placement"
 )
 
-// backEndState is what this daemon knows of one back end.
+// backEndState is this daemon's state of one back end. The field known is true once a
+// report has been received, and at is when the last report or load update was.
 type backEndState struct {
 	report api.Report
 	known  bool
 	at     time.Time
-	// aged says that the routing view no longer counts the report.
-	aged bool
-	// health and viewedBoot are what the routing view was made with.
+	// expired means that the report is too old to count as an observation in the routing
+	// view.
+	expired bool
+	// viewedBoot and health are the boot and health that the routing view was built
+	// with.
 	viewedBoot string
 	health     placement.Health
 	polling    bool
 	nextPoll   time.Time
 	failures   int
 	orders     map[orderKey]time.Time
-	share      shareState
-	// askers are the peer addresses that wait for this daemon's next poll.
-	askers []string
+	sent       sentReportState
+	// requesters are the peer addresses to which the report of the next poll is sent.
+	requesters []string
 }
 
 type orderKey struct {
@@ -48,7 +51,7 @@
 	for _, name := range n.actingFor() {
 		n.pollIfDue(now, name)
 	}
-	n.removeGoneRecords(now)
+	n.deleteOrphanRecords(now)
 }
 
 func (n *Node) pollIfDue(now time.Time, name string) {
@@ -62,79 +65,79 @@
 	}
 	state.polling = true
 	state.nextPoll = now.Add(n.jitter(n.settings.PollInterval))
-	n.do(Poll{BackEnd: name, Address: machine.Address})
+	n.emit(Poll{BackEnd: name, Address: machine.Address})
 }
 
-// PollAnswered takes in the answer to Poll.
+// PollAnswered handles the answer to Poll.
 func (n *Node) PollAnswered(now time.Time, answer PollAnswer) []Action {
 	state := n.backEnd(answer.BackEnd)
 	state.polling = false
 	machine, found := n.catalog.machines[answer.BackEnd]
 	acting := found && n.actsForBackEnd(answer.BackEnd, machine.Zone)
 	if answer.Err != CallOK {
-		state.askers = nil
+		state.requesters = nil
 		if acting {
 			n.pollFailed(answer.BackEnd, state)
 		}
-		return n.take()
+		return n.takeActions()
 	}
 	state.failures = 0
-	n.takeReport(now, answer.Report)
-	n.answerAskers(state)
+	n.mergeReport(now, answer.Report)
+	n.answerRequesters(state)
 	if acting {
 		n.observeHealth(&answer.Report)
 		n.reconcile(now, answer.BackEnd, machine, state)
-		n.shareReport(now, answer.BackEnd, state)
+		n.distributeReport(now, answer.BackEnd, state)
 	}
-	return n.take()
+	return n.takeActions()
 }
 
-// pollFailed counts polls that failed in a row. Only the daemon that acts for a back
-// end holds it for down: others may be cut off from it. Until then it has others poll
-// it too, as it may be this daemon that is cut off.
+// pollFailed counts polls that failed in a row. Only the daemon that acts for a back end
+// marks it down, because others may be unable to reach it. Until then it has other
+// daemons poll the back end too, as the fault may be in its own connection.
 func (n *Node) pollFailed(name string, state *backEndState) {
 	state.failures++
 	if state.failures < n.settings.PollFailures {
-		n.askOthers(name)
+		n.requestPolls(name)
 		return
 	}
-	news, heard := n.detector.BackEnd(name)
-	if heard && n.detector.ObserveBackEnd(name, news.Boot, member.BackEndDown) {
+	entry, observed := n.detector.BackEnd(name)
+	if observed && n.detector.ObserveBackEnd(name, entry.Boot, member.BackEndDown) {
 		n.revision++
-		n.decide("placement", "Back end is down.", "back_end", name, "failed_polls", state.failures)
+		n.logDecision("placement", "Back end is down.", "back_end", name, "failed_polls", state.failures)
 	}
 }
 
-// takeReport takes in a report if it is newer than the known one, and returns
-// whether it is.
-func (n *Node) takeReport(now time.Time, report api.Report) bool {
+// mergeReport stores a report if it is newer than the stored one, and returns whether it
+// was.
+func (n *Node) mergeReport(now time.Time, report api.Report) bool {
 	state := n.backEnd(report.BackEnd)
 	if state.known && !reportNewer(&report, &state.report) {
 		return false
 	}
-	if !state.known || state.aged || !sameStructure(&state.report, &report) {
+	if !state.known || state.expired || !sameStructure(&state.report, &report) {
 		n.revision++
 		n.catalog.markBackEnd(report.BackEnd)
 	}
 	state.report = report
 	state.known = true
-	state.aged = false
-	n.noteLoad(now, state)
+	state.expired = false
+	n.recordLoad(now, state)
 	return true
 }
 
-// observeHealth tells the group what a poll of this daemon's own showed.
+// observeHealth publishes to the members the health that a report shows.
 func (n *Node) observeHealth(report *api.Report) {
 	health := member.BackEndUp
 	if report.Leaving || n.catalog.machines[report.BackEnd].State == api.MachineLeaving {
 		health = member.BackEndLeaving
 	}
 	if n.detector.ObserveBackEnd(report.BackEnd, report.Boot, health) {
-		n.decide("placement", "Back end state.", "back_end", report.BackEnd, "state", health, "boot", report.Boot)
+		n.logDecision("placement", "Back end state changed.", "back_end", report.BackEnd, "state", health, "boot", report.Boot)
 	}
 }
 
-func (n *Node) noteLoad(now time.Time, state *backEndState) {
+func (n *Node) recordLoad(now time.Time, state *backEndState) {
 	state.at = now
 	report := &state.report
 	n.loads.Get(report.BackEnd).SetReport(report.Running+report.Waiting, report.Slots, now)
@@ -152,7 +155,7 @@
 	return a.Boot == b.Boot && a.Leaving == b.Leaving && a.Slots == b.Slots && slices.Equal(a.Residents, b.Residents)
 }
 
-// reconcile makes the engine follow its record.
+// reconcile moves the engine towards its placement record.
 func (n *Node) reconcile(now time.Time, name string, machine api.Machine, state *backEndState) {
 	known, found := n.catalog.placements[name]
 	if !found {
@@ -164,21 +167,22 @@
 		record.BackEnd = name
 		record.Leaving = leaving
 		if n.write(now, record, known.version, false) {
-			n.decide("placement", "Back end emptying changes.", "back_end", name, "leaving", leaving)
+			n.logDecision("placement", "Leaving flag in placement record of back end changed.", "back_end", name, "leaving", leaving)
 		}
 		return
 	}
 	result := placement.Reconcile(known.placement, known.version, machine.ChecksFence, &state.report, n.loadSlots())
 	if result.RecordChanged {
 		if n.write(now, result.Record, known.version, false) {
-			n.decide("placement", "Memory released.", "back_end", name, "fence", state.report.Fence)
+			n.logDecision("placement", "Released artifacts removed from placement record.", "back_end", name, "fence", state.report.Fence)
 		}
 		return
 	}
 	n.sendOrders(now, name, machine, state, result.Orders)
 }
 
-// loadSlots is this daemon's share of the weight store's slots.
+// loadSlots returns how many loads may run at once on one back end, from this daemon's
+// share of the weight store's slots.
 func (n *Node) loadSlots() int {
 	engines := max(len(n.catalog.engineNames()), 1)
 	mine := len(n.actingFor())
@@ -198,30 +202,31 @@
 			continue
 		}
 		state.orders[key] = now
-		n.decide("placement", "Order sent.", "order", string(order.Kind), "artifact", order.Artifact.String(), "back_end", name, "fence", order.Fence)
-		n.do(SendOrder{BackEnd: name, Address: machine.Address, Order: order})
+		n.logDecision("placement", "Order sent.", "order", string(order.Kind), "artifact", order.Artifact.String(), "back_end", name, "fence", order.Fence)
+		n.emit(SendOrder{BackEnd: name, Address: machine.Address, Order: order})
 	}
 }
 
-// removeGoneRecords deletes records of machines that left the machine list.
-func (n *Node) removeGoneRecords(now time.Time) {
+// deleteOrphanRecords deletes placement records of machines that were removed from the
+// machine list.
+func (n *Node) deleteOrphanRecords(now time.Time) {
 	if now.Before(n.nextPlan) || len(n.catalog.machines) == 0 {
 		return
 	}
 	for _, name := range sortedNames(n.catalog.placements) {
 		known := n.catalog.placements[name]
 		key := api.Key{Kind: api.KindMachine, Name: name}
-		gone := n.store.Version(key) != 0 && n.catalog.machines[name].Name == ""
-		if !gone || known.version == 0 || !n.recordLives(name) || !n.actsForBackEnd(name, "") {
+		orphaned := n.store.Version(key) != 0 && n.catalog.machines[name].Name == ""
+		if !orphaned || known.version == 0 || !n.recordExists(name) || !n.actsForBackEnd(name, "") {
 			continue
 		}
 		if n.write(now, known.placement, known.version, true) {
-			n.decide("placement", "Record removed.", "back_end", name, "reason", "machine gone")
+			n.logDecision("placement", "Placement record removed.", "back_end", name, "reason", "machine gone")
 		}
 	}
 }
 
-func (n *Node) recordLives(name string) bool {
+func (n *Node) recordExists(name string) bool {
 	_, live := n.store.Get(api.Key{Kind: api.KindPlacement, Name: name})
 	return live
 }
--- a/control/node.go
+++ b/control/node.go
@@ -14,37 +14,39 @@
 
 // Node is the control plane of one daemon. It is not safe for concurrent use.
 type Node struct {
-	settings Settings
-	random   *rand.Rand
-	detector *member.Detector
-	store    *replica.Store
-	catalog  *catalog
-	duties   duties
-	backEnds map[string]*backEndState
-	watch    watchState
-	spread   spreadState
-	writes   writeState
-	demand   demandState
-	interest map[string]*interest
-	// subscribers holds, for each model, the peer addresses that want the load
-	// of its back ends, and until when.
+	settings    Settings
+	random      *rand.Rand
+	detector    *member.Detector
+	store       *replica.Store
+	catalog     *catalog
+	duties      duties
+	backEnds    map[string]*backEndState
+	watch       watchState
+	propagation propagationState
+	writes      writeState
+	demand      demandState
+	interest    map[string]*interest
+	// subscribers holds, for each model, the peer addresses that subscribed to the load
+	// of its back ends, with the expiry time of each subscription.
 	subscribers map[string]map[string]time.Time
-	// lostZones holds since when zones have had no live daemon.
+	// lostZones maps each zone without a live daemon to the time since when it has had
+	// none.
 	lostZones map[string]time.Time
 	views     map[string]*route.Model
 	loads     *route.Loads
 	nextPlan  time.Time
-	// nextRenewal is when all subscriptions are sent again.
+	// nextRenewal is when all subscriptions are renewed.
 	nextRenewal time.Time
 	actions     []Action
 	join        joinState
 	leave       leaveState
-	inquiry     inquiryState
-	// revision changes with everything that routing depends on.
+	fallback    fallbackPollState
+	// revision is incremented when anything changes that routing depends on.
 	revision uint64
 }
 
-// duties is who does what under one membership view.
+// duties holds the daemons among which duties are assigned, under one revision of the
+// membership. Daemons that are leaving are not among them.
 type duties struct {
 	revision  uint64
 	daemons   rendezvous.Set
@@ -53,7 +55,7 @@
 	zonePeers []string
 }
 
-// New returns a node that knows only itself.
+// New returns a node whose only member is itself.
 func New(self member.Member, settings Settings, random *rand.Rand) *Node {
 	node := &Node{
 		settings:    settings,
@@ -72,7 +74,7 @@
 	node.demand.local = map[string]*localDemand{}
 	node.demand.remote = map[string]map[string]remoteDemand{}
 	node.demand.totals = map[string]*modelAverages{}
-	node.spread.peerThrough = map[string]uint64{}
+	node.propagation.peerThrough = map[string]uint64{}
 	return node
 }
 
@@ -82,16 +84,17 @@
 // Members returns all known daemons.
 func (n *Node) Members() []member.Member { return n.detector.Members() }
 
-// Store returns the node's copy of the platform's objects.
+// Store returns the node's replica of the platform's objects.
 func (n *Node) Store() *replica.Store { return n.store }
 
-// SetSeeds names peer addresses to join through, besides the machine list.
+// SetSeeds sets the peer addresses through which the node joins, in addition to those in
+// the machine list.
 func (n *Node) SetSeeds(addresses []string) {
-	n.spread.configuredSeeds = addresses
+	n.propagation.configuredSeeds = addresses
 	n.updateSeeds()
 }
 
-// Tick does what is due. It should be called about every 100 ms.
+// Tick performs the periodic work that is due. It should be called about every 100 ms.
 func (n *Node) Tick(now time.Time) []Action {
 	n.tickJoin(now)
 	for _, packet := range n.detector.Tick(now) {
@@ -101,7 +104,7 @@
 	n.tickLeave(now)
 	n.tickWatch(now)
 	n.tickPolls(now)
-	n.tickInquiries(now)
+	n.tickFallbackPolls(now)
 	n.tickSubscriptions(now)
 	n.tickDemand(now)
 	n.tickWrites(now)
@@ -109,41 +112,41 @@
 		n.nextPlan = now.Add(n.jitter(n.settings.PlanInterval))
 		n.plan(now)
 	}
-	n.tickSpread()
-	return n.take()
+	n.tickPropagation()
+	return n.takeActions()
 }
 
-// Receive takes in a message from another daemon.
+// Receive handles a message from another daemon.
 func (n *Node) Receive(now time.Time, message Message) []Action {
 	if message.Probe != nil {
 		for _, packet := range n.detector.Receive(now, *message.Probe) {
 			n.sendProbe(packet)
 		}
 		n.refreshDuties()
-		n.noteLeaveAck(message.Probe)
+		n.recordLeaveAck(message.Probe)
 	}
 	if message.Delta != nil {
-		n.learn(n.store.Apply(*message.Delta))
+		n.updateCatalog(n.store.Apply(*message.Delta))
 	}
-	n.exchange(message)
+	n.syncWithPeer(message)
 	for _, report := range message.Reports {
-		if n.takeReport(now, report) {
-			n.passOnLeaving(now, report.BackEnd)
+		if n.mergeReport(now, report) {
+			n.propagateLeaving(now, report.BackEnd)
 		}
 	}
 	for _, name := range message.Ask {
-		n.asked(now, message.From, name)
+		n.handlePollRequest(now, message.From, name)
 	}
 	for _, load := range message.Loads {
-		n.takeLoad(now, load)
+		n.mergeLoad(now, load)
 	}
 	for _, model := range message.Subscribe {
-		n.subscribed(now, message.From, model)
+		n.addSubscriber(now, message.From, model)
 	}
 	for _, demand := range message.Demand {
-		n.takeDemand(now, demand)
+		n.mergeDemand(now, demand)
 	}
-	return n.take()
+	return n.takeActions()
 }
 
 // jitter returns a duration between 0.75 and 1.25 times the given one.
@@ -151,16 +154,16 @@
 	return duration*3/4 + time.Duration(n.random.Int64N(int64(duration/2)+1))
 }
 
-func (n *Node) do(action Action) { n.actions = append(n.actions, action) }
+func (n *Node) emit(action Action) { n.actions = append(n.actions, action) }
 
-func (n *Node) take() []Action {
+func (n *Node) takeActions() []Action {
 	taken := n.actions
 	n.actions = nil
 	return taken
 }
 
-func (n *Node) decide(part, text string, fields ...any) {
-	n.do(Decision{Part: part, Text: text, Fields: fields})
+func (n *Node) logDecision(part, text string, fields ...any) {
+	n.emit(Decision{Part: part, Text: text, Fields: fields})
 }
 
 func (n *Node) sendProbe(packet member.Packet) {
@@ -171,11 +174,11 @@
 func (n *Node) send(address string, message Message) {
 	message.From = n.detector.Self().PeerAddress
 	message.Through = n.store.Through()
-	n.do(SendPeer{Address: address, Message: message})
+	n.emit(SendPeer{Address: address, Message: message})
 }
 
-// refreshDuties works out anew who does what when the members have changed.
-// Daemons that are leaving hand over their duties before they stop.
+// refreshDuties rebuilds the sets of daemons that duties are assigned to, if the members
+// have changed. Daemons that are leaving hand over their duties before they stop.
 func (n *Node) refreshDuties() {
 	if n.duties.byZone != nil && n.duties.revision == n.detector.Revision() {
 		return
@@ -198,18 +201,17 @@
 	slices.Sort(fresh.zones)
 	fresh.zonePeers = byZone[n.detector.Self().Zone]
 	n.duties = fresh
-	n.catalog.dropDuties()
+	n.catalog.invalidateDuties()
 	n.revision++
 }
 
-// actsForBackEnd reports whether this daemon polls the back end and sends it
-// orders.
+// actsForBackEnd reports whether this daemon polls the back end and sends it orders.
 func (n *Node) actsForBackEnd(name, zone string) bool {
 	return n.actingDaemon(name, zone) == n.detector.Self().Name
 }
 
-// actingDaemon returns the daemon that acts for a back end: one of its zone if
-// there is one.
+// actingDaemon returns the daemon that acts for a back end: one in the back end's zone
+// if that zone has a live daemon, otherwise one from all zones.
 func (n *Node) actingDaemon(name, zone string) string {
 	set, found := n.duties.byZone[zone]
 	if !found {
@@ -246,8 +248,8 @@
 	return known.PeerAddress
 }
 
-// sortedNames returns the keys of a map in a fixed order, so that the same
-// events always give the same actions.
+// sortedNames returns the keys of a map in a fixed order, so that the same events always
+// produce the same actions.
 func sortedNames[V any](named map[string]V) []string {
 	names := make([]string, 0, len(named))
 	for name := range named {
--- a/control/planning.go
+++ b/control/planning.go
@@ -15,33 +15,34 @@
 	at    time.Time
 }
 
-func (a *average) add(now time.Time, sample float64, span time.Duration) {
+func (a *average) add(now time.Time, sample float64, timeConstant time.Duration) {
 	if a.at.IsZero() {
 		a.value, a.at = sample, now
 		return
 	}
-	keep := math.Exp(-now.Sub(a.at).Seconds() / span.Seconds())
+	keep := math.Exp(-now.Sub(a.at).Seconds() / timeConstant.Seconds())
 	a.value = a.value*keep + sample*(1-keep)
 	a.at = now
 }
 
 const (
-	fastSpan = 4 * time.Second
-	slowSpan = 2 * time.Minute
-	// remoteDemandAge is how long another daemon's demand counts.
-	remoteDemandAge = 25 * time.Second
-	// demandRefresh is how long an unchanged demand is not sent again.
-	demandRefresh = 10 * time.Second
-	// demandChange is the change that is sent at once, as a share of the last,
-	// and demandStep the least such change in requests.
-	demandChange = 0.25
-	demandStep   = 1.0
-	// demandFloor is the demand under which nothing is reported.
-	demandFloor = 0.01
+	fastTimeConstant = 4 * time.Second
+	slowTimeConstant = 2 * time.Minute
+	// remoteDemandTTL is how long a demand that another daemon reported is counted.
+	remoteDemandTTL = 25 * time.Second
+	// demandRefreshInterval is the interval at which an unchanged demand is sent again.
+	demandRefreshInterval = 10 * time.Second
+	// minDemandChangeShare is the change that is reported at once, as a share of the
+	// last reported demand. minDemandChange is the minimum of that change, in requests.
+	minDemandChangeShare = 0.25
+	minDemandChange      = 1.0
+	// minReportedDemand is the demand below which zero is reported and the model is
+	// dropped.
+	minReportedDemand = 0.01
 )
 
-// demandState holds the demand seen here and, for models that this daemon
-// plans, the demand reported by all.
+// demandState holds the local demand and, for models that this daemon plans, the demand
+// reported by all daemons.
 type demandState struct {
 	local  map[string]*localDemand
 	remote map[string]map[string]remoteDemand
@@ -49,20 +50,20 @@
 	next   time.Time
 }
 
-// localDemand is the demand for one model here, and what was last sent of it.
+// localDemand is the local demand for one model, and the value that was last reported.
 type localDemand struct {
 	average
 	sent   float64
 	sentAt time.Time
 }
 
-// due reports whether the demand is worth a message.
+// due reports whether the demand is to be sent now.
 func (d *localDemand) due(now time.Time) bool {
-	if now.Sub(d.sentAt) >= demandRefresh || d.value < demandFloor {
+	if now.Sub(d.sentAt) >= demandRefreshInterval || d.value < minReportedDemand {
 		return true
 	}
 	change := math.Abs(d.value - d.sent)
-	return change >= demandStep && change >= demandChange*d.sent
+	return change >= minDemandChange && change >= minDemandChangeShare*d.sent
 }
 
 type remoteDemand struct {
@@ -75,7 +76,7 @@
 	slow average
 }
 
-// ObserveDemand takes in the requests in progress and waiting for a model.
+// ObserveDemand records the number of requests in progress and waiting for a model.
 func (n *Node) ObserveDemand(now time.Time, model string, requests float64) {
 	known := n.demand.local[model]
 	if known == nil {
@@ -100,7 +101,7 @@
 		known.sent, known.sentAt = known.value, now
 		owner := n.modelOwner(model)
 		demand := ModelDemand{Daemon: self, Model: model, Requests: known.value}
-		if known.value < demandFloor {
+		if known.value < minReportedDemand {
 			demand.Requests = 0
 			delete(n.demand.local, model)
 		}
@@ -116,12 +117,12 @@
 			continue
 		}
 		for _, demand := range demands {
-			n.takeDemand(now, demand)
+			n.mergeDemand(now, demand)
 		}
 	}
 }
 
-func (n *Node) takeDemand(now time.Time, demand ModelDemand) {
+func (n *Node) mergeDemand(now time.Time, demand ModelDemand) {
 	byDaemon := n.demand.remote[demand.Model]
 	if byDaemon == nil {
 		byDaemon = map[string]remoteDemand{}
@@ -135,7 +136,7 @@
 	total := 0.0
 	for _, daemon := range sortedNames(n.demand.remote[model]) {
 		demand := n.demand.remote[model][daemon]
-		if now.Sub(demand.at) > remoteDemandAge {
+		if now.Sub(demand.at) > remoteDemandTTL {
 			delete(n.demand.remote[model], daemon)
 			continue
 		}
@@ -146,15 +147,15 @@
 		averages = &modelAverages{}
 		n.demand.totals[model] = averages
 	}
-	averages.fast.add(now, total, fastSpan)
-	averages.slow.add(now, total, slowSpan)
+	averages.fast.add(now, total, fastTimeConstant)
+	averages.slow.add(now, total, slowTimeConstant)
 	return placement.Demand{Fast: averages.fast.value, Slow: averages.slow.value}
 }
 
 // plan runs the planner for the models that this daemon plans.
 func (n *Node) plan(now time.Time) {
 	models := n.planningFor()
-	if len(models) == 0 || n.writes.tokens < 1 || now.Before(n.writes.paused) {
+	if len(models) == 0 || n.writes.tokens < 1 || now.Before(n.writes.backoffUntil) {
 		return
 	}
 	snapshot := placement.Snapshot{Now: now, Settings: n.settings.Placement}
@@ -164,14 +165,14 @@
 			Model: entry.model, Deleted: entry.deleted, Demand: n.modelDemand(now, name),
 		})
 	}
-	n.noteLostZones(now)
+	n.updateLostZones(now)
 	snapshot.BackEnds = n.plannedBackEnds(now)
 	n.execute(now, placement.Plan(snapshot))
 }
 
-// plannedBackEnds returns the engines as the planner sees them. An engine is
-// offered only after it was heard of, so that no record is made for a machine
-// that never started.
+// plannedBackEnds returns the input of the planner for each engine. An engine without a
+// known state counts as down, so that no record is created for a machine that never
+// started.
 func (n *Node) plannedBackEnds(now time.Time) []placement.BackEnd {
 	names := n.catalog.engineNames()
 	backEnds := make([]placement.BackEnd, 0, len(names))
@@ -188,21 +189,22 @@
 	return backEnds
 }
 
-// currentReport returns the newest report of the present boot of a back end, or
-// nil. What an earlier boot reported is no longer there.
+// currentReport returns the newest report of a back end if it is from the present boot,
+// otherwise nil. Artifacts that an earlier boot reported are no longer loaded.
 func (n *Node) currentReport(name string) *api.Report {
 	state := n.backEnds[name]
-	news, heard := n.detector.BackEnd(name)
-	if state == nil || !state.known || !heard || state.report.Boot != news.Boot {
+	entry, observed := n.detector.BackEnd(name)
+	if state == nil || !state.known || !observed || state.report.Boot != entry.Boot {
 		return nil
 	}
 	return &state.report
 }
 
-// health joins what the group says of a back end with the machine list.
+// health combines the state of a back end that the members share with the machine list
+// and the last report.
 func (n *Node) health(name string) placement.Health {
-	news, heard := n.detector.BackEnd(name)
-	if !heard || news.State == member.BackEndDown {
+	entry, observed := n.detector.BackEnd(name)
+	if !observed || entry.State == member.BackEndDown {
 		return placement.Down
 	}
 	machine, found := n.catalog.machines[name]
@@ -211,30 +213,30 @@
 	switch {
 	case !found:
 		return placement.Down
-	case news.State == member.BackEndLeaving || machine.State == api.MachineLeaving || reported:
+	case entry.State == member.BackEndLeaving || machine.State == api.MachineLeaving || reported:
 		return placement.Leaving
 	default:
 		return placement.Up
 	}
 }
 
-// noteLostZones keeps since when each zone with engines has had no live daemon.
-func (n *Node) noteLostZones(now time.Time) {
+// updateLostZones records since when each zone with engines has had no live daemon.
+func (n *Node) updateLostZones(now time.Time) {
 	for _, name := range n.catalog.engineNames() {
 		zone := n.catalog.machines[name].Zone
 		_, live := n.duties.byZone[zone]
-		_, noted := n.lostZones[zone]
+		_, recorded := n.lostZones[zone]
 		switch {
 		case live:
 			delete(n.lostZones, zone)
-		case !noted:
+		case !recorded:
 			n.lostZones[zone] = now
 		}
 	}
 }
 
-// plannedHealth is the health of a back end for planning. One that is down
-// together with all daemons of its zone is expected back for a while.
+// plannedHealth is the health of a back end for planning. A back end that is down
+// together with all daemons of its zone counts as suspended for LostZoneWait.
 func (n *Node) plannedHealth(now time.Time, name, zone string) placement.Health {
 	health := n.health(name)
 	lostSince, lost := n.lostZones[zone]
@@ -244,7 +246,7 @@
 	return health
 }
 
-// execute groups operations by record and starts their writes.
+// execute groups operations by placement record and starts their writes.
 func (n *Node) execute(now time.Time, operations []placement.Operation) {
 	var order []string
 	byBackEnd := map[string][]placement.Operation{}
