--- a/fleet/configuration.go
+++ b/fleet/configuration.go
@@ -1,7 +1,7 @@
-// Package fleet holds what an entry daemon knows of its deployment: the
-// operator's configuration (routes, services, models) and the back-end instances
-// that are alive. All types are plain values; a View is an immutable snapshot
-// that the request path reads without locks.
+// Package fleet defines the operator's configuration (routes, services, models)
+// and the live back-end instances, as an entry daemon uses them. All types are
+// plain values; a View is an immutable snapshot that the request path reads
+// without locks.
 package fleet
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/wheatweir/wheatweir/tenant"
 )
 
-// RouteKind says what may be repeated on a route.
+// RouteKind determines whether requests of a route may run more than once.
 type RouteKind uint8
 
 // Kinds of routes.
@@ -20,7 +20,7 @@
 	KindUnsafe RouteKind = iota
 	// KindSafe requests may run more than once.
 	KindSafe
-	// KindStream requests are answered by a series of events.
+	// KindStream requests are answered with a stream of events.
 	KindStream
 )
 
@@ -29,36 +29,36 @@
 // String returns the name used in logs.
 func (k RouteKind) String() string { return routeKindNames[k] }
 
-// Target is one service that a route sends requests to.
+// Target is a weighted destination service of a route.
 type Target struct {
 	Service string
-	// Weight is the share of requests, relative to the other targets.
+	// Weight is the share of requests relative to the weights of the other targets.
 	Weight int
 }
 
-// Route tells what happens to requests of a host below a path prefix.
+// Route defines how requests to a host under a path prefix are served.
 type Route struct {
 	Name string
-	// Host is in lower case and without a port.
+	// Host is in lower case, without a port.
 	Host string
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
 	Kind       RouteKind
-	// Timeout is the longest time that a request may be held.
+	// Timeout is the maximum time that a request may take in the daemon.
 	Timeout time.Duration
-	// TargetLatency is the time in which an answer earns its full credit.
+	// TargetLatency is the maximum latency at which an answer counts in full.
 	TargetLatency time.Duration
-	// TargetGap is the longest pause between two events of a stream.
+	// TargetGap is the target for the maximum interval between two events of a stream.
 	TargetGap time.Duration
-	// Priority is the rank of the route's requests; zero is the highest.
+	// Priority of the route's requests; zero is the highest.
 	Priority int
 	// Targets holds at least one service.
 	Targets []Target
-	// MaxAttempts is the most instances that one request may be sent to.
+	// MaxAttempts is the maximum number of instances that one request may be sent to.
 	MaxAttempts int
-	// Resumable streams may continue at another instance.
+	// Resumable streams may continue on another instance after a failure.
 	Resumable bool
-	// Public routes are served without a key, also where others need one.
+	// Public routes are served without a tenant key even if Configuration.RequiresKeys is set.
 	Public bool
 }
 
@@ -67,55 +67,55 @@
 	return r.Kind == KindSafe || r.Kind == KindStream && r.Resumable
 }
 
-// leastFirstEventPatience, and targetPatience and gapPatience as multiples of the route's targets, are how long the
-// platform's clients wait for the first event of a stream.
+// Clients of the platform wait for the first event of a stream for the maximum of minFirstEventTimeout, the target
+// latency times firstEventTargetFactor and the target gap times firstEventGapFactor.
 const (
-	leastFirstEventPatience = 2 * time.Second
-	targetPatience          = 4
-	gapPatience             = 8
+	minFirstEventTimeout   = 2 * time.Second
+	firstEventTargetFactor = 4
+	firstEventGapFactor    = 8
 )
 
-// FirstEventPatience is how long clients of the route wait for the first event of a stream, as the platform's pages
-// tell; others wait for as long as the route allows.
+// FirstEventPatience returns how long clients of the route wait for the first event of a stream, according to the
+// platform's documentation. Clients of other kinds of routes wait until the route's timeout.
 func (r *Route) FirstEventPatience() time.Duration {
 	if r.Kind != KindStream {
 		return r.Timeout
 	}
-	return max(leastFirstEventPatience, targetPatience*r.TargetLatency, gapPatience*r.TargetGap)
+	return max(minFirstEventTimeout, firstEventTargetFactor*r.TargetLatency, firstEventGapFactor*r.TargetGap)
 }
 
-// SendsTo reports whether requests of the route may go to a service.
+// SendsTo reports whether the service is a target of the route.
 func (r *Route) SendsTo(service string) bool {
 	return slices.ContainsFunc(r.Targets, func(target Target) bool { return target.Service == service })
 }
 
-// Model is one model of an engine service.
+// Model is a model served by the engines of a service.
 type Model struct {
 	Name string
 	// WeightsMB is the accelerator memory of the weights, in megabytes.
 	WeightsMB float64
-	// LoadTime, WarmTime and DiskTime are how long a load takes from the weight
-	// store, from the server's memory and from its disk.
+	// LoadTime, WarmTime and DiskTime are the durations of a load from the weight
+	// store, from the server's main memory and from its disk.
 	LoadTime time.Duration
 	WarmTime time.Duration
 	DiskTime time.Duration
-	// Adapters is how many adapters there are; they are named a1, a2 and so on.
+	// Adapters is the number of adapters; they are named a1, a2 and so on.
 	Adapters int
 	// AdapterMB is the accelerator memory of each adapter, in megabytes.
 	AdapterMB float64
 }
 
-// Engine describes the model servers of a service. All of them are alike.
+// Engine describes the model servers of a service. All servers of a service are identical.
 type Engine struct {
-	// Slots is the number of requests in one batch.
+	// Slots is the batch size in requests.
 	Slots int
-	// MemoryTokens is the memory for prompts and generated tokens.
+	// MemoryTokens is the memory for prompts and generated output, in tokens.
 	MemoryTokens int
-	// WeightsMB is the accelerator memory for weights and adapters.
+	// WeightsMB is the accelerator memory for weights and adapters, in megabytes.
 	WeightsMB float64
-	// AdapterSlots is the number of adapters that fit.
+	// AdapterSlots is the maximum number of adapters loaded at a time.
 	AdapterSlots int
-	// LoadsPerSecond is what the weight store allows over all servers.
+	// LoadsPerSecond is the limit that the weight store sets on model loads of all servers together.
 	LoadsPerSecond float64
 	Models         []Model
 }
@@ -130,20 +130,20 @@
 	return nil
 }
 
-// Service is a group of instances that serve the same requests.
+// Service is a group of interchangeable instances.
 type Service struct {
 	Name string
-	// MaxConnections is what one instance takes from all callers together.
+	// MaxConnections is the maximum number of connections to one instance, from all callers together.
 	MaxConnections int
-	// ColdSpan is how long an instance stays cold after its start, and ColdPerSecond how many requests a second it
-	// bears meanwhile; both are zero if instances bear as much as ever.
+	// ColdSpan is how long an instance is cold after its start. A cold instance can serve only ColdPerSecond
+	// requests per second. Both are zero if instances have their full capacity from the start.
 	ColdSpan      time.Duration
 	ColdPerSecond float64
 	// Engine is nil for a service without models.
 	Engine *Engine
 }
 
-// Limits bound what a client may send.
+// Limits bounds the size and duration of client requests.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
@@ -153,19 +153,19 @@
 
 // Configuration is one version of the operator's configuration.
 type Configuration struct {
-	// Version only rises.
+	// Version increases with each change.
 	Version  uint64
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// RequiresKeys says that requests have to carry the key of a tenant, but for those of
+	// RequiresKeys means that requests must carry the key of a tenant, except on
 	// public routes.
 	RequiresKeys bool
 	Tenants      []tenant.Tenant
 }
 
-// FirstEventPatience is the shortest time that clients of the stream routes to a service wait for a first event; zero
-// if there is no such route.
+// FirstEventPatience returns the minimum time that clients of the service's stream routes wait for the first event.
+// It is zero if no stream route has the service as a target.
 func (c *Configuration) FirstEventPatience(service string) time.Duration {
 	shortest, found := time.Duration(0), false
 	for i := range c.Routes {
@@ -173,9 +173,9 @@
 		if route.Kind != KindStream || !route.SendsTo(service) {
 			continue
 		}
-		patience := min(route.FirstEventPatience(), route.Timeout)
-		if !found || patience < shortest {
-			shortest, found = patience, true
+		firstEventTimeout := min(route.FirstEventPatience(), route.Timeout)
+		if !found || firstEventTimeout < shortest {
+			shortest, found = firstEventTimeout, true
 		}
 	}
 	return shortest
--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -1,6 +1,7 @@
 package fleet
 
-// Evacuation is the operator's order that the instances of a zone get no new requests, until it is taken back.
+// Evacuation is an operator's command to send no new requests to the instances of a zone. It is in force until the
+// operator revokes it.
 type Evacuation struct {
 	Zone string
 }
--- a/fleet/notice.go
+++ b/fleet/notice.go
@@ -2,43 +2,45 @@
 
 import "time"
 
-// Notice is what an instance says of itself in the head of an answer, whatever the answer is to.
+// Notice is the state of an instance, reported in the headers of any of its responses.
 type Notice struct {
-	// Leaving says that it takes no new requests for the rest of its life.
+	// Leaving means that the instance accepts no new requests until it terminates.
 	Leaving bool
-	// Limit is how many requests it takes from all daemons together.
+	// Limit is the rate of requests that the instance accepts from all daemons together.
 	Limit LimitNotice
-	// Brittle is how many requests a second it bears to turn away for want of room.
+	// Brittle is the rate at which the instance can reject requests for lack of capacity without failing.
 	Brittle BrittleNotice
-	// Rest is how long it wants nothing from this daemon; zero if it did not ask for that.
+	// Rest is the backoff during which this daemon must send no requests to the instance; zero if none was
+	// requested.
 	Rest time.Duration
-	// Unreadable lists fields whose values were not understood. They say nothing.
+	// Unreadable lists header fields whose values could not be parsed. They are otherwise ignored.
 	Unreadable []string
 }
 
-// LimitNotice is what an answer says of a limit.
+// LimitNotice is the rate limit reported in a response.
 type LimitNotice struct {
-	// Named says that there is one, of PerSecond requests a second.
+	// Named means that the response sets a limit of PerSecond requests per second.
 	Named     bool
 	PerSecond float64
-	// Unreadable says that the answer names a limit that was not understood: whether an earlier one
-	// still holds is not known.
+	// Unreadable means that the response has a limit that could not be parsed. It is then unknown whether an
+	// earlier limit is still in force.
 	Unreadable bool
 }
 
-// BrittleNotice is what an answer says of how much its instance bears.
+// BrittleNotice is the refusal rate, reported in a response, above which the instance fails. An instance with such
+// a bound is called brittle.
 type BrittleNotice struct {
-	// Named says that the instance falls over once it has turned more than Refusals requests away within a second.
+	// Named means that the instance fails after it rejects more than Refusals requests within one second.
 	Named    bool
 	Refusals float64
-	// Unreadable says that the answer names a number that was not understood.
+	// Unreadable means that the response has a number that could not be parsed.
 	Unreadable bool
 }
 
-// Heard is a notice with the answer that it came with.
+// Heard is a notice together with the instance and the time of the request.
 type Heard struct {
 	Instance string
-	// SentAt is when the request was sent: what the instance said by then is older than the answer.
+	// SentAt is the time at which the request was sent. Notices received before it are older than this one.
 	SentAt time.Time
 	Notice Notice
 }
--- a/fleet/report.go
+++ b/fleet/report.go
@@ -1,24 +1,24 @@
 package fleet
 
-// AdapterOf names an adapter of a model.
+// AdapterOf identifies an adapter of a model.
 type AdapterOf struct {
 	Model   string
 	Adapter string
 }
 
-// Report is what a model server says about itself when asked. It may be some
+// Report is the state of a model server, obtained by polling. It may be a few
 // hundred milliseconds old.
 type Report struct {
 	Residents []Resident
-	// Coming lists adapters that are being loaded.
+	// Coming lists the adapters that are being loaded.
 	Coming []AdapterOf
-	// AtHand lists models with a copy in the server's memory or on its disk.
+	// AtHand lists the models cached in the server's main memory or on its disk.
 	AtHand []string
-	// Busy says that an order for a model is under way.
+	// Busy means that the server is executing a load or unload order.
 	Busy bool
-	// Sequence counts the orders that the server took since its start.
+	// Sequence is the number of orders that the server accepted since its start.
 	Sequence uint64
-	// Running and Waiting count requests.
+	// Running and Waiting are numbers of requests.
 	Running int
 	Waiting int
 	// MemoryUsed and MemoryTotal are in tokens.
--- a/fleet/urgency.go
+++ b/fleet/urgency.go
@@ -3,23 +3,23 @@
 import "time"
 
 const (
-	// BackgroundPriority is the highest rank whose requests count as background requests: two ranks stay for
-	// callers who wait for the answer.
+	// BackgroundPriority is the highest priority of background requests. The two priorities above it are
+	// reserved for callers that wait for the answer.
 	BackgroundPriority = 2
-	// yieldTargetRatio is how many times the shortest target of a service a route's own target has to be for its
-	// requests to yield. With less, the time that they can give away is of no use to the urgent ones.
+	// yieldTargetRatio is the minimum ratio of a route's target latency to the shortest target of the service for
+	// the route's requests to yield. Below it, the delay that they can afford does not help urgent requests.
 	yieldTargetRatio = 4
 )
 
-// urgency is what the routes to one service ask of it.
+// urgency summarizes the priorities and latency targets of the routes to one service.
 type urgency struct {
-	// urgent says that a route has a priority above that of background requests.
+	// urgent means that a route has a priority above that of background requests.
 	urgent bool
-	// shortestTarget is the shortest target latency of the stream routes; zero if there is none.
+	// shortestTarget is the minimum target latency of the stream routes; zero if none has a target.
 	shortestTarget time.Duration
 }
 
-// add takes in a route to the service.
+// add includes a route to the service.
 func (u *urgency) add(route *Route) {
 	if route.Priority < BackgroundPriority {
 		u.urgent = true
@@ -32,25 +32,25 @@
 	}
 }
 
-// urgencies returns the urgency of each service that routes lead to.
+// urgencies returns the urgency of each service that is a target of a route.
 func urgencies(routes []Route) map[string]urgency {
 	byService := map[string]urgency{}
 	for i := range routes {
 		for _, target := range routes[i].Targets {
-			known := byService[target.Service]
-			known.add(&routes[i])
-			byService[target.Service] = known
+			current := byService[target.Service]
+			current.add(&routes[i])
+			byService[target.Service] = current
 		}
 	}
 	return byService
 }
 
-// Yields reports whether background requests of a route yield to the urgent ones of a service: there are urgent
-// ones, and the target of the route leaves much more time than the shortest one.
+// Yields reports whether background requests of the route yield to urgent ones of the service. They do if there is
+// an urgent route and the target latency of this route is at least yieldTargetRatio times the shortest one.
 func (v *View) Yields(route *Route, service string) bool {
-	known := v.urgencies[service]
-	if !known.urgent || known.shortestTarget == 0 {
+	current := v.urgencies[service]
+	if !current.urgent || current.shortestTarget == 0 {
 		return false
 	}
-	return route.TargetLatency >= yieldTargetRatio*known.shortestTarget
+	return route.TargetLatency >= yieldTargetRatio*current.shortestTarget
 }
--- a/fleet/urgency_test.go
+++ b/fleet/urgency_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestYields guards against holding requests back where nobody gains by it, or where their own target leaves no time.
+// TestYields guards against delaying requests when no urgent request benefits, or when their own target is too short.
 func TestYields(t *testing.T) {
 	const background = "background"
 	route := func(name string, kind RouteKind, priority int, target time.Duration, services ...string) Route {
@@ -28,19 +28,19 @@
 		{"the shortest target is not the urgent one's", []Route{
 			route("urgent", KindStream, 0, 2*time.Second, "svc"), route("short", KindStream, 3, time.Second, "svc"), long,
 		}, true},
-		{"the urgent route is at another service", []Route{route("urgent", KindStream, 0, 500*time.Millisecond, "other"), long}, false},
-		{"the urgent route has two services", []Route{route("urgent", KindStream, 0, 500*time.Millisecond, "other", "svc"), long}, true},
-		{"short targets only of whole answers", []Route{route("urgent", KindSafe, 0, 500*time.Millisecond, "svc"), long}, false},
+		{"the urgent route has another service as its target", []Route{route("urgent", KindStream, 0, 500*time.Millisecond, "other"), long}, false},
+		{"the urgent route has two target services", []Route{route("urgent", KindStream, 0, 500*time.Millisecond, "other", "svc"), long}, true},
+		{"short targets only on routes without streams", []Route{route("urgent", KindSafe, 0, 500*time.Millisecond, "svc"), long}, false},
 		{"urgent streams without a target", []Route{route("urgent", KindStream, 0, 0, "svc"), long}, false},
 		{"no other route", []Route{long}, false},
 	}
 	for _, c := range cases {
 		view := NewView(&Configuration{Version: 1, Routes: c.routes, Services: []Service{{Name: "svc"}}}, nil)
-		asked := &c.routes[len(c.routes)-1]
-		if got := view.Yields(asked, "svc"); got != c.want {
+		tested := &c.routes[len(c.routes)-1]
+		if got := view.Yields(tested, "svc"); got != c.want {
 			t.Errorf("%s: yields %v, want %v", c.name, got, c.want)
 		}
-		if got := view.WithInstances([]*Instance{{ID: "i", Service: "svc"}}, nil).Yields(asked, "svc"); got != c.want {
+		if got := view.WithInstances([]*Instance{{ID: "i", Service: "svc"}}, nil).Yields(tested, "svc"); got != c.want {
 			t.Errorf("%s, after a change of the instances: yields %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -9,10 +9,10 @@
 	"github.com/wheatweir/wheatweir/tenant"
 )
 
-// View is an immutable snapshot of configuration and instances.
+// View is an immutable snapshot of the configuration and the instances.
 type View struct {
 	configuration *Configuration
-	// all and the groups in byService are in the order of the IDs.
+	// all and the lists in byService are sorted by instance ID.
 	all       []*Instance
 	byService map[string][]*Instance
 	routes    map[string][]*Route
@@ -21,13 +21,13 @@
 	tenants   *tenant.Table
 }
 
-// NewView builds a snapshot. The configuration is nil until one is known.
+// NewView returns a snapshot. The configuration is nil until one has been received.
 func NewView(configuration *Configuration, instances []*Instance) *View {
 	return (&View{}).WithConfiguration(configuration).WithInstances(instances, nil)
 }
 
-// WithConfiguration returns the snapshot with another configuration. Configurations are
-// large and change seldom, so what was worked out for the same one is used again.
+// WithConfiguration returns a snapshot with another configuration. Configurations are large
+// and rarely change, so the lookup tables are reused if the configuration is the same.
 func (v *View) WithConfiguration(configuration *Configuration) *View {
 	if configuration == v.configuration && v.routes != nil {
 		return v
@@ -42,9 +42,9 @@
 	return next
 }
 
-// WithInstances returns the snapshot with some instances added or replaced, and others
-// gone, by their IDs. There may be thousands of instances, and a few of them change many
-// times a second: what did not change is copied, not worked out anew.
+// WithInstances returns a snapshot with some instances added or replaced by ID, and others
+// removed. There may be thousands of instances, and a few of them change many times per
+// second: unchanged entries are copied instead of being rebuilt.
 func (v *View) WithInstances(changed []*Instance, gone []string) *View {
 	edits := make([]edit, 0, len(changed)+len(gone))
 	for _, instance := range changed {
@@ -66,18 +66,18 @@
 	return &next
 }
 
-// edit puts an instance in the place of the one with the same ID, or nothing.
+// edit adds or replaces the instance with an ID, or removes it if instance is nil.
 type edit struct {
 	id       string
 	instance *Instance
 }
 
-// affected returns the services that edits add instances to or take them from.
+// affected returns the services whose instance lists the edits change.
 func (v *View) affected(edits []edit) []string {
 	services := map[string]bool{}
 	for _, e := range edits {
-		if before := v.Instance(e.id); before != nil {
-			services[before.Service] = true
+		if previous := v.Instance(e.id); previous != nil {
+			services[previous.Service] = true
 		}
 		if e.instance != nil {
 			services[e.instance.Service] = true
@@ -86,36 +86,37 @@
 	return slices.Collect(maps.Keys(services))
 }
 
-// ofService returns the edits as one service sees them: what goes to another one is gone.
+// ofService returns the edits to the list of one service. An instance that belongs to another service is removed
+// from the list.
 func ofService(edits []edit, service string) []edit {
-	seen := slices.Clone(edits)
-	for i := range seen {
-		if seen[i].instance != nil && seen[i].instance.Service != service {
-			seen[i].instance = nil
+	serviceEdits := slices.Clone(edits)
+	for i := range serviceEdits {
+		if serviceEdits[i].instance != nil && serviceEdits[i].instance.Service != service {
+			serviceEdits[i].instance = nil
 		}
 	}
-	return seen
+	return serviceEdits
 }
 
-// apply returns a list with the edits made; both are in the order of the IDs.
+// apply returns a copy of the list with the edits applied; both are sorted by ID.
 func apply(instances []*Instance, edits []edit) []*Instance {
 	edited := make([]*Instance, 0, len(instances)+len(edits))
 	for _, e := range edits {
-		place, found := find(instances, e.id)
-		edited = append(edited, instances[:place]...)
+		index, found := find(instances, e.id)
+		edited = append(edited, instances[:index]...)
 		if e.instance != nil {
 			edited = append(edited, e.instance)
 		}
 		if found {
-			place++
+			index++
 		}
-		instances = instances[place:]
+		instances = instances[index:]
 	}
 	return append(edited, instances...)
 }
 
-// find returns the place of an ID in a list in the order of the IDs.
-func find(instances []*Instance, id string) (place int, found bool) {
+// find returns the index of an ID in a list sorted by ID, or the index at which to insert it.
+func find(instances []*Instance, id string) (index int, found bool) {
 	return slices.BinarySearchFunc(instances, id, func(instance *Instance, id string) int { return strings.Compare(instance.ID, id) })
 }
 
@@ -134,10 +135,10 @@
 	v.tenants = tenant.NewTable(configuration.Tenants)
 }
 
-// Configuration returns the newest configuration, or nil if none is known.
+// Configuration returns the configuration, or nil if none has been received.
 func (v *View) Configuration() *Configuration { return v.configuration }
 
-// Version returns the version of the configuration; zero if none is known.
+// Version returns the version of the configuration; zero if none has been received.
 func (v *View) Version() uint64 {
 	if v.configuration == nil {
 		return 0
@@ -146,7 +147,7 @@
 }
 
 // Route returns the route of a host (lower case, no port) with the longest
-// prefix that begins the path, or nil.
+// matching path prefix, or nil.
 func (v *View) Route(host, path string) *Route {
 	for _, route := range v.routes[host] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -159,10 +160,10 @@
 // Service returns a service by its name, or nil.
 func (v *View) Service(name string) *Service { return v.services[name] }
 
-// Tenants finds the tenant of a key.
+// Tenants returns the table that maps keys to tenants.
 func (v *View) Tenants() *tenant.Table { return v.tenants }
 
-// RequiresKeys reports whether requests of a route have to carry the key of a tenant.
+// RequiresKeys reports whether requests of a route must carry the key of a tenant.
 func (v *View) RequiresKeys(route *Route) bool {
 	return v.configuration != nil && v.configuration.RequiresKeys && !route.Public
 }
@@ -177,19 +178,19 @@
 
 // Instance returns an instance by its ID, or nil.
 func (v *View) Instance(id string) *Instance {
-	place, found := find(v.all, id)
+	index, found := find(v.all, id)
 	if !found {
 		return nil
 	}
-	return v.all[place]
+	return v.all[index]
 }
 
-// Instances returns the instances of a service in the order of their IDs. The
-// slice must not be changed.
+// Instances returns the instances of a service sorted by ID. The slice must not
+// be modified.
 func (v *View) Instances(service string) []*Instance { return v.byService[service] }
 
-// InstanceCount returns how many instances are known.
+// InstanceCount returns the number of instances of all services.
 func (v *View) InstanceCount() int { return len(v.all) }
 
-// All returns all instances in the order of their IDs. The slice must not be changed.
+// All returns the instances of all services sorted by ID. The slice must not be modified.
 func (v *View) All() []*Instance { return v.all }
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -11,44 +11,44 @@
 	_ "github.com/wheatweir/wheatweir/internal/fixedseed"
 )
 
-// TestViewFollowsChanges holds views that follow each other against maps, and looks
-// whether the view before each change still shows what it did.
+// TestViewFollowsChanges compares successive views with a map as the model. It also
+// checks that the view before each change is not modified.
 func TestViewFollowsChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		known := map[string]*Instance{}
+		want := map[string]*Instance{}
 		view := NewView(nil, nil)
 		for range rapid.IntRange(1, 12).Draw(t, "changes") {
-			before, beforeKnown := view, maps.Clone(known)
+			before, wantBefore := view, maps.Clone(want)
 			var changed []*Instance
 			var gone []string
 			for number := range rapid.IntRange(0, 6).Draw(t, "instances") {
 				id := fmt.Sprint("i", number, rapid.IntRange(0, 3).Draw(t, "id"))
 				if rapid.Bool().Draw(t, "gone") {
 					gone = append(gone, id)
-					delete(known, id)
+					delete(want, id)
 					continue
 				}
 				instance := &Instance{ID: id, Service: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "service")}
 				changed = append(changed, instance)
-				known[id] = instance
+				want[id] = instance
 			}
 			view = view.WithInstances(changed, gone)
-			requireShows(t, view, known)
-			requireShows(t, before, beforeKnown)
+			requireInstances(t, view, want)
+			requireInstances(t, before, wantBefore)
 		}
 	})
 }
 
-func requireShows(t *rapid.T, view *View, known map[string]*Instance) {
-	if view.InstanceCount() != len(known) {
-		t.Fatalf("%d instances, want %d", view.InstanceCount(), len(known))
+func requireInstances(t *rapid.T, view *View, want map[string]*Instance) {
+	if view.InstanceCount() != len(want) {
+		t.Fatalf("%d instances, want %d", view.InstanceCount(), len(want))
 	}
 	groups := map[string][]*Instance{}
-	for _, id := range slices.Sorted(maps.Keys(known)) {
-		if view.Instance(id) != known[id] {
-			t.Fatalf("%s is %v, want %v", id, view.Instance(id), known[id])
+	for _, id := range slices.Sorted(maps.Keys(want)) {
+		if view.Instance(id) != want[id] {
+			t.Fatalf("%s is %v, want %v", id, view.Instance(id), want[id])
 		}
-		groups[known[id].Service] = append(groups[known[id].Service], known[id])
+		groups[want[id].Service] = append(groups[want[id].Service], want[id])
 	}
 	for _, service := range []string{"a", "b"} {
 		if !slices.Equal(view.Instances(service), groups[service]) {
@@ -56,28 +56,28 @@
 		}
 	}
 	if view.Instance("none") != nil {
-		t.Fatal("an instance that nobody knows is shown")
+		t.Fatal("view returns an instance that was never added")
 	}
 }
 
-// TestConfigurationIsWorkedOutOnce covers a large configuration that stays the same while
-// instances change.
+// TestConfigurationIsWorkedOutOnce guards against rebuilding the lookup tables of an
+// unchanged configuration when instances change.
 func TestConfigurationIsWorkedOutOnce(t *testing.T) {
 	configuration := &Configuration{Version: 1, Routes: []Route{{Name: "r", Host: "h", PathPrefix: "/r/"}}}
 	view := NewView(configuration, nil)
 	next := view.WithInstances([]*Instance{{ID: "i", Service: "s"}}, nil)
 	if next.Route("h", "/r/x") != view.Route("h", "/r/x") || next.Route("h", "/r/x") == nil {
-		t.Error("the route is another one")
+		t.Error("the route was rebuilt or is missing")
 	}
 	if next.WithConfiguration(configuration) != next {
-		t.Error("the same configuration makes a new snapshot")
+		t.Error("the same configuration returned a new snapshot")
 	}
 	if changed := next.WithConfiguration(&Configuration{Version: 2}); changed.Version() != 2 || changed.Route("h", "/r/x") != nil || changed.Instance("i") == nil {
-		t.Error("a new configuration is not shown")
+		t.Error("the new configuration was not applied, or the instances were lost")
 	}
 }
 
-// BenchmarkChange measures one change among many instances.
+// BenchmarkChange measures the replacement of one of many instances.
 func BenchmarkChange(b *testing.B) {
 	for _, count := range []int{115, 600, 3000} {
 		b.Run(fmt.Sprint("instances=", count), func(b *testing.B) {
