--- a/retry/budget.go
+++ b/retry/budget.go
@@ -1,4 +1,4 @@
-// Package retry bounds how often failed attempts are made again.
+// Package retry limits the rate of retries after failed attempts.
 package retry
 
 import (
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Budget lets retries be a share of recent successes, so that retries cannot
-// multiply load when most attempts fail. It is safe for concurrent use.
+// Budget limits retries to a share of recent successes, so that retries cannot
+// multiply the load when most attempts fail. It is safe for concurrent use.
 type Budget struct {
 	mutex  sync.Mutex
 	tokens float64
@@ -16,13 +16,13 @@
 	limit  float64
 }
 
-// NewBudget returns a budget that grows by share for each success up to limit,
-// and starts full.
+// NewBudget returns a full budget of limit tokens. Each success adds share
+// tokens, up to limit.
 func NewBudget(share, limit float64) *Budget {
 	return &Budget{tokens: limit, share: share, limit: limit}
 }
 
-// SetLimit changes the limit, for example because it is shared by more daemons.
+// SetLimit changes the limit, for example because more daemons share it.
 func (b *Budget) SetLimit(limit float64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -30,21 +30,21 @@
 	b.tokens = min(b.tokens, limit)
 }
 
-// SetShare changes the share.
+// SetShare changes the number of tokens that each success adds.
 func (b *Budget) SetShare(share float64) {
 	b.mutex.Lock()
 	b.share = share
 	b.mutex.Unlock()
 }
 
-// Succeeded notes a success.
+// Succeeded records a successful attempt.
 func (b *Budget) Succeeded() {
 	b.mutex.Lock()
 	b.tokens = min(b.tokens+b.share, b.limit)
 	b.mutex.Unlock()
 }
 
-// Take returns whether one more retry may be made.
+// Take consumes one token and reports whether a retry is allowed. It returns false if less than one token is left.
 func (b *Budget) Take() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -55,8 +55,9 @@
 	return true
 }
 
-// Backoff returns the pause before an attempt, with full jitter: a random time
-// up to base doubled for each earlier attempt, at most limit.
+// Backoff returns the delay before an attempt, as exponential backoff with full
+// jitter: uniformly random from zero to base, doubled for each earlier attempt up
+// to limit.
 func Backoff(random *rand.Rand, attempt int, base, limit time.Duration) time.Duration {
 	ceiling := base
 	for range attempt {
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -21,25 +21,25 @@
 func TestBudget(t *testing.T) {
 	budget := retry.NewBudget(0.5, 4)
 	if got := take(budget, 10); got != 4 {
-		t.Errorf("%d taken of a full budget of 4", got)
+		t.Errorf("%d tokens taken from a full budget of 4", got)
 	}
 	for range 5 {
 		budget.Succeeded()
 	}
 	if got := take(budget, 10); got != 2 {
-		t.Errorf("%d taken after 5 successes at a share of a half", got)
+		t.Errorf("%d tokens taken after 5 successes with a share of 0.5", got)
 	}
 	for range 100 {
 		budget.Succeeded()
 	}
 	budget.SetLimit(2)
 	if got := take(budget, 10); got != 2 {
-		t.Errorf("%d taken under a lowered limit of 2", got)
+		t.Errorf("%d tokens taken with the limit lowered to 2", got)
 	}
 	budget.SetShare(1)
 	budget.Succeeded()
 	if got := take(budget, 10); got != 1 {
-		t.Errorf("%d taken after a success at a share of one", got)
+		t.Errorf("%d tokens taken after a success with a share of 1", got)
 	}
 }
 
@@ -48,9 +48,9 @@
 	const base, limit = 10 * time.Millisecond, 50 * time.Millisecond
 	for attempt := range 10 {
 		for range 100 {
-			pause := retry.Backoff(random, attempt, base, limit)
-			if pause < 0 || pause > limit || attempt == 0 && pause > base {
-				t.Fatalf("attempt %d pauses %v", attempt, pause)
+			delay := retry.Backoff(random, attempt, base, limit)
+			if delay < 0 || delay > limit || attempt == 0 && delay > base {
+				t.Fatalf("attempt %d has a delay of %v", attempt, delay)
 			}
 		}
 	}
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -1,7 +1,7 @@
-// Package upstream makes HTTP calls to other systems with two properties that
-// ready-made clients do not give: it never sends a request twice by itself,
-// and it says whether a failed request was sent at all. Encoding and decoding
-// are those of fasthttp; the package only owns the connections.
+// Package upstream is an HTTP client with two properties that common clients
+// lack: it never retries a request automatically, and its errors distinguish
+// requests that were not sent from those that may have been. It uses fasthttp for
+// encoding and decoding, and manages the connections itself.
 package upstream
 
 import (
@@ -15,28 +15,28 @@
 	"github.com/zeebo/errs"
 )
 
-// Classes of errors.
+// Error classes.
 var (
 	// ErrNotSent means that no byte of the request left this process.
 	ErrNotSent = errs.Class("upstream: not sent")
-	// ErrSent means that the request may have arrived.
+	// ErrSent means that the request may have reached the server.
 	ErrSent = errs.Class("upstream: sent")
-	// ErrTooLarge means that an answer is over its bound.
+	// ErrTooLarge means that a response body exceeds its size limit.
 	ErrTooLarge = errs.Class("upstream: answer too large")
 )
 
 // Settings of a pool.
 type Settings struct {
 	DialTimeout time.Duration
-	// IdleTimeout bounds the time between two bytes of an answer.
+	// IdleTimeout is the maximum time to wait for more bytes of a response.
 	IdleTimeout time.Duration
-	// KeepAlive is how long an unused connection is kept.
+	// KeepAlive is how long an idle connection may be reused.
 	KeepAlive time.Duration
-	// MaxIdle bounds the unused connections to one address.
+	// MaxIdle is the maximum number of idle connections to one address.
 	MaxIdle int
 }
 
-// DefaultSettings returns the settings used unless an operator changes them.
+// DefaultSettings returns the default settings, which an operator can override.
 func DefaultSettings() Settings {
 	return Settings{
 		DialTimeout: 2 * time.Second,
@@ -46,7 +46,7 @@
 	}
 }
 
-// Pool holds connections to any number of addresses.
+// Pool is a pool of connections to any number of addresses.
 type Pool struct {
 	settings Settings
 	mutex    sync.Mutex
@@ -59,34 +59,34 @@
 	return &Pool{settings: settings, idle: map[string][]*connection{}}
 }
 
-// connection is one connection with its buffers.
+// connection is a network connection with its buffers.
 type connection struct {
 	net.Conn
-	reader   *bufio.Reader
-	writer   *bufio.Writer
-	lastUsed time.Time
-	limit    time.Duration
-	reused   bool
+	reader      *bufio.Reader
+	writer      *bufio.Writer
+	lastUsed    time.Time
+	readTimeout time.Duration
+	reused      bool
 }
 
-// Read bounds the time between two reads.
+// Read sets a new read deadline before each read.
 func (c *connection) Read(buffer []byte) (int, error) {
-	if err := c.SetReadDeadline(time.Now().Add(c.limit)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(c.readTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Read(buffer)
 }
 
-// Options of one call.
+// Options of one request.
 type Options struct {
-	// FreshConnection avoids a kept connection. A kept connection that the
-	// other side has just closed fails after the request was sent, and then
-	// nothing shows whether the request ran.
+	// FreshConnection opens a new connection instead of reusing an idle one. If
+	// the server has just closed an idle connection, the error occurs after the
+	// request was sent, and it is unknown whether the server executed it.
 	FreshConnection bool
 }
 
-// Do sends a request and returns when the head of the answer has arrived. The
-// connection is closed when ctx ends before the response is released.
+// Do sends a request and returns when the response headers have arrived. The
+// connection is closed if ctx is cancelled before the response is released.
 func (p *Pool) Do(ctx context.Context, address string, request *fasthttp.Request, options Options) (*Response, error) {
 	conn, err := p.acquire(ctx, address, options)
 	if err != nil {
@@ -126,7 +126,7 @@
 	if err != nil {
 		return nil, err
 	}
-	conn := &connection{Conn: raw, limit: p.settings.IdleTimeout}
+	conn := &connection{Conn: raw, readTimeout: p.settings.IdleTimeout}
 	conn.reader = bufio.NewReader(conn)
 	conn.writer = bufio.NewWriter(raw)
 	return conn, nil
@@ -136,12 +136,12 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for {
-		kept := p.idle[address]
-		if len(kept) == 0 {
+		connections := p.idle[address]
+		if len(connections) == 0 {
 			return nil
 		}
-		conn := kept[len(kept)-1]
-		p.idle[address] = kept[:len(kept)-1]
+		conn := connections[len(connections)-1]
+		p.idle[address] = connections[:len(connections)-1]
 		if time.Since(conn.lastUsed) < p.settings.KeepAlive {
 			return conn
 		}
@@ -160,13 +160,13 @@
 	p.idle[address] = append(p.idle[address], conn)
 }
 
-// Close closes the unused connections and keeps no more.
+// Close closes the idle connections. Connections released later are closed as well.
 func (p *Pool) Close() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.closed = true
-	for address, kept := range p.idle {
-		for _, conn := range kept {
+	for address, connections := range p.idle {
+		for _, conn := range connections {
 			_ = conn.Close()
 		}
 		delete(p.idle, address)
--- a/upstream/response.go
+++ b/upstream/response.go
@@ -7,8 +7,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Response is an answer whose body may still be arriving. It must be released
-// by ReadAll or Close.
+// Response is an HTTP response whose body is read as a stream. It must be
+// released by ReadAll or Close.
 type Response struct {
 	pool     *Pool
 	address  string
@@ -19,15 +19,15 @@
 	complete bool
 }
 
-// Status returns the HTTP status.
+// Status returns the HTTP status code.
 func (r *Response) Status() int { return r.status }
 
-// Header returns a copy of a header's value.
+// Header returns a copy of the value of a header field.
 func (r *Response) Header(name string) string { return string(r.message.Header.Peek(name)) }
 
-// Read returns more of the body. It returns io.EOF only after the whole body
-// has arrived as its framing says; a connection that ends early gives
-// io.ErrUnexpectedEOF.
+// Read implements io.Reader for the body. It returns io.EOF only after the body
+// is complete according to its framing, and io.ErrUnexpectedEOF if the connection
+// closes earlier.
 func (r *Response) Read(buffer []byte) (int, error) {
 	if r.complete {
 		return 0, io.EOF
@@ -39,9 +39,9 @@
 	}
 	count, err := stream.Read(buffer)
 	if err == io.EOF {
-		if r.message.Header.ContentLength() == endsWithConnection {
-			// A body that ends with the connection cannot be told from a
-			// broken one, so it never counts as whole.
+		if r.message.Header.ContentLength() == unframedLength {
+			// The end of a body without framing cannot be distinguished from a
+			// broken connection, so such a body never counts as complete.
 			return count, io.ErrUnexpectedEOF
 		}
 		r.complete = true
@@ -49,11 +49,11 @@
 	return count, err
 }
 
-// endsWithConnection is fasthttp's content length for a body without framing.
-const endsWithConnection = -2
+// unframedLength is fasthttp's content length for a body without framing, which ends when the connection closes.
+const unframedLength = -2
 
-// ReadAll reads the rest of the body, up to limit bytes, and releases the
-// response.
+// ReadAll reads the rest of the body and releases the response. It returns an
+// error if the rest exceeds limit bytes.
 func (r *Response) ReadAll(limit int) ([]byte, error) {
 	var body bytes.Buffer
 	_, err := io.Copy(&body, io.LimitReader(r, int64(limit)+1))
@@ -67,8 +67,8 @@
 	return body.Bytes(), nil
 }
 
-// Close releases the response. A connection whose answer was not read to its
-// end is closed, which tells the other side to stop.
+// Close releases the response. If the body was not read to its end, Close closes
+// the connection, so that the server can stop working on the request.
 func (r *Response) Close() {
 	if r.conn == nil {
 		return
@@ -80,8 +80,8 @@
 	if !reusable {
 		_ = conn.Close()
 	}
-	// The message keeps a reference to the connection's reader, so it is
-	// released before the connection is used again.
+	// The message holds a reference to the connection's reader, so it must be
+	// released before the connection is reused.
 	_ = r.message.CloseBodyStream()
 	fasthttp.ReleaseResponse(r.message)
 	r.message = nil
@@ -90,7 +90,7 @@
 	}
 }
 
-// abort closes the connection of a call that failed.
+// abort closes the connection after a failed call and releases the message.
 func (r *Response) abort() {
 	r.stop()
 	_ = r.conn.Close()
@@ -99,7 +99,7 @@
 	r.message = nil
 }
 
-// Buffered returns how many bytes have arrived and wait to be read.
+// Buffered returns the number of bytes that were received but not yet read.
 func (r *Response) Buffered() int {
 	if r.conn == nil {
 		return 0
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -15,9 +15,9 @@
 	"github.com/wheatweir/wheatweir/upstream"
 )
 
-// server answers each connection by a function that gets the raw connection
-// after a whole request was read from it.
-func server(t *testing.T, answer func(conn net.Conn, number int)) string {
+// startServer starts a TCP server and returns its address. After each complete request
+// it calls answer with the raw connection and the number of the request on it.
+func startServer(t *testing.T, answer func(conn net.Conn, number int)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,7 +47,7 @@
 	return listener.Addr().String()
 }
 
-func write(text string) func(net.Conn, int) {
+func respondAndClose(text string) func(net.Conn, int) {
 	return func(conn net.Conn, _ int) {
 		_, _ = io.WriteString(conn, text)
 		_ = conn.Close()
@@ -69,7 +69,7 @@
 }
 
 func TestFaults(t *testing.T) {
-	closed, err := loopback.Address()
+	unusedAddress, err := loopback.Address()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,16 +80,16 @@
 		sent    bool
 		want    string
 	}{
-		{"nobody listens", closed, true, false, ""},
-		{"closed before the first byte", server(t, write("")), false, true, ""},
-		{"broken head", server(t, write("HTTP/1.1 2")), false, true, ""},
-		{"not HTTP", server(t, write("hello\r\n\r\n")), false, true, ""},
-		{"whole answer", server(t, write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")), false, false, "ok"},
-		{"short answer", server(t, write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok")), false, true, ""},
-		{"whole chunks", server(t, write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n")), false, false, "ok"},
-		{"chunks without their end", server(t, write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n")), false, true, ""},
-		{"a body that ends with the connection", server(t, write("HTTP/1.1 200 OK\r\n\r\nok")), false, true, ""},
-		{"too large", server(t, write("HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n"+string(make([]byte, 2000)))), false, true, ""},
+		{"connection refused", unusedAddress, true, false, ""},
+		{"connection closed before the first byte", startServer(t, respondAndClose("")), false, true, ""},
+		{"truncated status line", startServer(t, respondAndClose("HTTP/1.1 2")), false, true, ""},
+		{"not HTTP", startServer(t, respondAndClose("hello\r\n\r\n")), false, true, ""},
+		{"complete response", startServer(t, respondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")), false, false, "ok"},
+		{"truncated body", startServer(t, respondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok")), false, true, ""},
+		{"complete chunked body", startServer(t, respondAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n")), false, false, "ok"},
+		{"chunked body without the final chunk", startServer(t, respondAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n")), false, true, ""},
+		{"body without framing", startServer(t, respondAndClose("HTTP/1.1 200 OK\r\n\r\nok")), false, true, ""},
+		{"body too large", startServer(t, respondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n"+string(make([]byte, 2000)))), false, true, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -103,11 +103,12 @@
 	}
 }
 
-// TestNothingIsSentTwice covers a kept connection that the other side closes:
-// ready-made clients send the request again, which could run a booking twice.
+// TestNothingIsSentTwice guards against an automatic retry when the server closes
+// a reused connection: common HTTP clients send the request again, which could
+// execute a booking twice.
 func TestNothingIsSentTwice(t *testing.T) {
 	requests := make(chan int, 10)
-	address := server(t, func(conn net.Conn, number int) {
+	address := startServer(t, func(conn net.Conn, number int) {
 		requests <- number
 		if number == 1 {
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -122,19 +123,19 @@
 	}
 	_, err := call(context.Background(), pool, address)
 	if !upstream.ErrSent.Has(err) {
-		t.Fatalf("error %v does not say that the request was sent", err)
+		t.Fatalf("error %v is not of class ErrSent", err)
 	}
 	if first, second := <-requests, <-requests; first != 1 || second != 2 || len(requests) != 0 {
-		t.Fatalf("requests %d, %d and %d more", first, second, len(requests))
+		t.Fatalf("received requests %d and %d, and %d more", first, second, len(requests))
 	}
 }
 
 func TestCancelClosesTheConnection(t *testing.T) {
-	gone := make(chan bool)
-	address := server(t, func(conn net.Conn, _ int) {
+	clientClosed := make(chan bool)
+	address := startServer(t, func(conn net.Conn, _ int) {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n")
 		_, err := conn.Read(make([]byte, 1))
-		gone <- err != nil
+		clientClosed <- err != nil
 	})
 	pool := upstream.NewPool(upstream.DefaultSettings())
 	defer pool.Close()
@@ -143,7 +144,7 @@
 	if _, err := call(ctx, pool, address); err == nil {
 		t.Fatal("a cancelled call succeeded")
 	}
-	if !<-gone {
-		t.Fatal("the connection is still open")
+	if !<-clientClosed {
+		t.Fatal("the client did not close the connection")
 	}
 }
