--- a/admit/example_test.go
+++ b/admit/example_test.go
@@ -8,7 +8,7 @@
 	"github.com/wheatweir/wheatweir/api"
 )
 
-// A critical request overtakes a free one that came a moment before it.
+// A critical request starts before a free one that arrived one second earlier.
 func ExampleQueue_Arrive() {
 	now := time.Unix(0, 0)
 	queue := admit.NewQueue(admit.DefaultSettings(), 1)
--- a/admit/gate.go
+++ b/admit/gate.go
@@ -8,19 +8,19 @@
 	"github.com/wheatweir/wheatweir/outcome"
 )
 
-// Gate is a Queue for use from many goroutines.
+// Gate is a Queue that is safe for concurrent use and blocks callers while they wait.
 type Gate struct {
 	mutex sync.Mutex
 	queue *Queue
 }
 
-// NewGate returns a gate that lets limit requests run at once.
+// NewGate returns a gate that admits up to limit concurrent requests.
 func NewGate(settings Settings, limit int) *Gate {
 	return &Gate{queue: NewQueue(settings, limit)}
 }
 
-// Enter waits until the request may start. It returns false and the refusal if
-// it may not; otherwise the caller must call Exit once.
+// Enter waits until the request is admitted. It returns true if so, and the
+// caller must then call Exit once. Otherwise it returns false and the refusal.
 func (g *Gate) Enter(ctx context.Context, ticket *Ticket) (outcome.Result, bool) {
 	ticket.verdict = make(chan Verdict, 1)
 	g.mutex.Lock()
@@ -48,42 +48,42 @@
 		reason = outcome.ReasonCallerGone
 	}
 	g.mutex.Lock()
-	left := g.queue.Leave(ticket)
+	removed := g.queue.Leave(ticket)
 	retryAfter := g.queue.expectedWait(g.queue.Waiting() + 1)
 	g.mutex.Unlock()
-	if !left {
-		// The end of the wait was decided in the meantime.
+	if !removed {
+		// Another goroutine has admitted or refused the ticket meanwhile.
 		return <-ticket.verdict
 	}
 	return Verdict{Refusal: outcome.Refuse(reason, retryAfter)}
 }
 
-// Exit notes that an admitted request has ended.
+// Exit releases the slot of an admitted request, which held it for the given time.
 func (g *Gate) Exit(held time.Duration) {
 	g.mutex.Lock()
 	started, expired := g.queue.End(time.Now(), held)
 	g.mutex.Unlock()
-	g.tell(started, expired)
+	g.deliver(started, expired)
 }
 
-// SetLimit changes how many requests may run at once.
+// SetLimit changes the maximum number of concurrent requests.
 func (g *Gate) SetLimit(limit int) {
 	g.mutex.Lock()
 	started, expired := g.queue.SetLimit(time.Now(), limit)
 	g.mutex.Unlock()
-	g.tell(started, expired)
+	g.deliver(started, expired)
 }
 
-func (g *Gate) tell(started, expired []*Ticket) {
+func (g *Gate) deliver(started, expired []*Ticket) {
 	for _, ticket := range started {
 		ticket.verdict <- Verdict{Admitted: true}
 	}
 	for _, ticket := range expired {
-		ticket.verdict <- Verdict{Refusal: outcome.Refuse(outcome.ReasonDeadline, minimumRetryAfter)}
+		ticket.verdict <- Verdict{Refusal: outcome.Refuse(outcome.ReasonDeadline, minRetryAfter)}
 	}
 }
 
-// Requests returns the number of requests in progress and waiting.
+// Requests returns the numbers of running and waiting requests.
 func (g *Gate) Requests() (running, waiting int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/admit/queue.go
+++ b/admit/queue.go
@@ -1,10 +1,11 @@
-// Package admit decides whether a request may start now, waits, or is refused.
+// Package admit implements admission control: a request is admitted, queued or
+// refused.
 //
-// Queue holds the state for one model and does no I/O; Gate makes it usable
-// from many goroutines. A request that cannot make its deadline is refused at
-// once with the time to come back. Waiting requests are served by the time
-// they came plus a handicap for their priority, so a free request waits behind
-// newer urgent ones, but only for so long.
+// Queue holds the state for one model and does no I/O; Gate makes it safe for
+// concurrent use. A request that is not expected to meet its deadline is refused
+// immediately, with a time to retry after. Waiting requests are ordered by their
+// arrival time plus a handicap for their priority. A free request thus waits
+// behind later urgent ones, but only for a bounded time.
 package admit
 
 import (
@@ -17,15 +18,15 @@
 
 // Settings of a queue.
 type Settings struct {
-	// MaxWaiting bounds the requests that wait.
+	// MaxWaiting is the maximum number of waiting requests.
 	MaxWaiting int
-	// Handicap is how much later than its arrival a request counts for each
-	// step of priority. A free request overtakes a critical one that came
-	// twice this time after it.
+	// Handicap is added to the arrival time of a request for each step of
+	// priority. A free request is served before a critical one that arrived
+	// more than twice this time later.
 	Handicap time.Duration
 }
 
-// DefaultSettings returns the settings used unless an operator changes them.
+// DefaultSettings returns the default settings, which an operator can override.
 func DefaultSettings() Settings {
 	return Settings{MaxWaiting: 1000, Handicap: 5 * time.Second}
 }
@@ -33,21 +34,24 @@
 // Ticket is one request in the queue.
 type Ticket struct {
 	Priority api.Priority
-	// Deadline is when the answer must have begun; zero means none.
+	// Deadline is the time by which the answer must begin; zero means no deadline.
 	Deadline time.Time
 
-	rank     time.Time
-	position int
-	// verdict receives the end of the wait in a Gate.
+	// effectiveArrival is the arrival time plus the handicap for the priority.
+	effectiveArrival time.Time
+	// heapIndex is the index of the ticket in the heap of waiting tickets.
+	heapIndex int
+	// verdict receives the result of the wait in a Gate.
 	verdict chan Verdict
 }
 
-// Verdict is the answer to a request to start.
+// Verdict is an admission decision.
 type Verdict struct {
 	Admitted bool
-	// Queued says that the ticket waits; a later call tells how it ends.
+	// Queued means that the ticket waits. A later call of End, SetLimit or Expire returns it
+	// when its wait has ended.
 	Queued bool
-	// Refusal is set if neither holds.
+	// Refusal is set if the request is neither admitted nor queued.
 	Refusal outcome.Result
 }
 
@@ -57,11 +61,11 @@
 	limit    int
 	running  int
 	waiting  ticketHeap
-	// serviceTime is the average time that a request holds its place.
+	// serviceTime is the moving average of the time that a request holds its slot.
 	serviceTime time.Duration
 }
 
-// NewQueue returns a queue that lets limit requests run at once.
+// NewQueue returns a queue that admits up to limit concurrent requests.
 func NewQueue(settings Settings, limit int) *Queue {
 	return &Queue{settings: settings, limit: limit}
 }
@@ -69,16 +73,17 @@
 // Running returns the number of admitted requests that have not ended.
 func (q *Queue) Running() int { return q.running }
 
-// Waiting returns the number of requests that wait.
+// Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int { return len(q.waiting) }
 
-// SetLimit changes how many requests may run and returns those that start.
+// SetLimit changes the maximum number of running requests. It returns the waiting
+// tickets that start and those whose deadline has passed.
 func (q *Queue) SetLimit(now time.Time, limit int) (started, expired []*Ticket) {
 	q.limit = limit
 	return q.startWaiting(now)
 }
 
-// Arrive decides about a new request.
+// Arrive admits, queues or refuses a new request.
 func (q *Queue) Arrive(now time.Time, ticket *Ticket) Verdict {
 	if q.running < q.limit && len(q.waiting) == 0 {
 		q.running++
@@ -91,43 +96,45 @@
 	if !ticket.Deadline.IsZero() && now.Add(wait).After(ticket.Deadline) {
 		return Verdict{Refusal: outcome.Refuse(outcome.ReasonDeadline, wait)}
 	}
-	ticket.rank = now.Add(time.Duration(ticket.Priority) * q.settings.Handicap)
+	ticket.effectiveArrival = now.Add(time.Duration(ticket.Priority) * q.settings.Handicap)
 	heap.Push(&q.waiting, ticket)
 	return Verdict{Queued: true}
 }
 
-// minimumRetryAfter is the least time that a refused caller is told to wait.
-const minimumRetryAfter = 100 * time.Millisecond
+// minRetryAfter is the minimum retry-after time of a refusal.
+const minRetryAfter = 100 * time.Millisecond
 
-// expectedWait estimates when the request at a position of the queue starts.
+// expectedWait estimates the wait of the request at a position in the queue; positions start at 1.
 func (q *Queue) expectedWait(position int) time.Duration {
 	if q.limit == 0 {
 		return time.Second
 	}
 	wait := q.serviceTime * time.Duration(position) / time.Duration(q.limit)
-	return max(wait, minimumRetryAfter)
+	return max(wait, minRetryAfter)
 }
 
-// Leave takes a waiting ticket out, such as when its caller hung up.
+// Leave removes a waiting ticket, for example because its caller disconnected. It
+// returns false if the ticket does not wait.
 func (q *Queue) Leave(ticket *Ticket) bool {
-	if ticket.position >= len(q.waiting) || q.waiting[ticket.position] != ticket {
+	if ticket.heapIndex >= len(q.waiting) || q.waiting[ticket.heapIndex] != ticket {
 		return false
 	}
-	heap.Remove(&q.waiting, ticket.position)
+	heap.Remove(&q.waiting, ticket.heapIndex)
 	return true
 }
 
-// serviceTimeShare is the weight of a new sample in the average.
-const serviceTimeShare = 8
+// serviceTimeDivisor is the inverse of a new sample's weight in the moving average.
+const serviceTimeDivisor = 8
 
-// End notes that an admitted request has ended after holding its place for a
-// time, and returns those that start and those that can no longer make it.
+// End records that an admitted request has ended after it held its slot for the
+// given time. It returns the waiting tickets that start and those whose deadline
+// has passed.
 func (q *Queue) End(now time.Time, held time.Duration) (started, expired []*Ticket) {
 	q.running--
 	if q.serviceTime == 0 {
 		q.serviceTime = held
 	}
-	q.serviceTime += (held - q.serviceTime) / serviceTimeShare
+	q.serviceTime += (held - q.serviceTime) / serviceTimeDivisor
 	return q.startWaiting(now)
 }
 
@@ -144,7 +151,7 @@
 	return started, expired
 }
 
-// Expire takes out the tickets whose deadline has passed.
+// Expire removes and returns the waiting tickets whose deadline has passed.
 func (q *Queue) Expire(now time.Time) []*Ticket {
 	var expired []*Ticket
 	for i := 0; i < len(q.waiting); {
@@ -160,21 +167,21 @@
 	return expired
 }
 
-// ticketHeap orders tickets by rank.
+// ticketHeap orders tickets by their effective arrival time.
 type ticketHeap []*Ticket
 
 func (h ticketHeap) Len() int           { return len(h) }
-func (h ticketHeap) Less(i, j int) bool { return h[i].rank.Before(h[j].rank) }
+func (h ticketHeap) Less(i, j int) bool { return h[i].effectiveArrival.Before(h[j].effectiveArrival) }
 func (h ticketHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].position = i
-	h[j].position = j
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
 
 // Push implements heap.Interface.
 func (h *ticketHeap) Push(item any) {
 	ticket := item.(*Ticket)
-	ticket.position = len(*h)
+	ticket.heapIndex = len(*h)
 	*h = append(*h, ticket)
 }
 
--- a/admit/queue_test.go
+++ b/admit/queue_test.go
@@ -26,12 +26,12 @@
 		queued   bool
 		reason   outcome.Reason
 	}{
-		{"a free place", 1, 0, 10, 0, true, false, outcome.ReasonNone},
-		{"no free place", 1, 1, 10, 0, false, true, outcome.ReasonNone},
-		{"a full queue", 1, 3, 2, 0, false, false, outcome.ReasonQueueFull},
-		{"a deadline that cannot be met", 1, 1, 10, time.Millisecond, false, false, outcome.ReasonDeadline},
-		{"a deadline that can be met", 1, 1, 10, time.Minute, false, true, outcome.ReasonNone},
-		{"nothing may run", 0, 0, 10, 0, false, true, outcome.ReasonNone},
+		{"free slot", 1, 0, 10, 0, true, false, outcome.ReasonNone},
+		{"no free slot", 1, 1, 10, 0, false, true, outcome.ReasonNone},
+		{"full queue", 1, 3, 2, 0, false, false, outcome.ReasonQueueFull},
+		{"deadline cannot be met", 1, 1, 10, time.Millisecond, false, false, outcome.ReasonDeadline},
+		{"deadline can be met", 1, 1, 10, time.Minute, false, true, outcome.ReasonNone},
+		{"limit of zero", 0, 0, 10, 0, false, true, outcome.ReasonNone},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -48,14 +48,14 @@
 				t.Fatalf("verdict %+v", verdict)
 			}
 			if c.reason != outcome.ReasonNone && (verdict.Refusal.Kind != outcome.NotRun || verdict.Refusal.RetryAfter <= 0) {
-				t.Fatalf("refusal %+v does not say that it did not run and when to come back", verdict.Refusal)
+				t.Fatalf("refusal %+v, want kind NotRun and a positive RetryAfter", verdict.Refusal)
 			}
 		})
 	}
 }
 
-// TestFreeWaitsOnlySoLong checks that a free request is overtaken by critical
-// ones that come within twice the handicap, and by none that come later.
+// TestFreeWaitsOnlySoLong checks that a free request starts after critical ones
+// that arrive within twice the handicap, and before those that arrive later.
 func TestFreeWaitsOnlySoLong(t *testing.T) {
 	now := time.Unix(1000, 0)
 	queue := admit.NewQueue(admit.Settings{MaxWaiting: 100, Handicap: 5 * time.Second}, 1)
@@ -69,13 +69,13 @@
 	for i, want := range []*admit.Ticket{early, free, late} {
 		started, _ := queue.End(now.Add(12*time.Second), time.Second)
 		if len(started) != 1 || started[0] != want {
-			t.Fatalf("place %d went to another request", i)
+			t.Fatalf("free slot %d was given to another request", i)
 		}
 	}
 }
 
-// TestQueueKeepsItsLimit checks the counts of a queue against simple sums under
-// random arrivals, ends, hang-ups and limits.
+// TestQueueKeepsItsLimit compares the counts of a queue with a simple model under
+// random arrivals, ends, cancellations and limits.
 func TestQueueKeepsItsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -83,10 +83,10 @@
 		queue := admit.NewQueue(admit.Settings{MaxWaiting: 5, Handicap: time.Second}, limit)
 		running := 0
 		waiting := map[*admit.Ticket]bool{}
-		note := func(started, expired []*admit.Ticket) {
+		record := func(started, expired []*admit.Ticket) {
 			for _, ticket := range append(started, expired...) {
 				if !waiting[ticket] {
-					t.Fatalf("a ticket that did not wait was told")
+					t.Fatalf("a ticket that was not waiting was started or expired")
 				}
 				delete(waiting, ticket)
 			}
@@ -110,25 +110,25 @@
 			case 2:
 				if running > 0 {
 					running--
-					note(queue.End(now, time.Second))
+					record(queue.End(now, time.Second))
 				}
 			case 3:
 				for ticket := range waiting {
 					if !queue.Leave(ticket) {
-						t.Fatalf("a waiting ticket could not leave")
+						t.Fatalf("a waiting ticket could not be removed")
 					}
 					delete(waiting, ticket)
 					break
 				}
 			case 4:
 				limit = rapid.IntRange(0, 4).Draw(t, "new limit")
-				note(queue.SetLimit(now, limit))
+				record(queue.SetLimit(now, limit))
 			}
 			if queue.Running() != running || queue.Waiting() != len(waiting) {
-				t.Fatalf("queue has %d and %d, want %d and %d", queue.Running(), queue.Waiting(), running, len(waiting))
+				t.Fatalf("%d running and %d waiting, want %d and %d", queue.Running(), queue.Waiting(), running, len(waiting))
 			}
 			if running < limit && len(waiting) > 0 {
-				t.Fatalf("%d of %d run while %d wait", running, limit, len(waiting))
+				t.Fatalf("%d of %d running while %d wait", running, limit, len(waiting))
 			}
 		}
 	})
@@ -136,16 +136,16 @@
 
 func TestGateEndsEveryWait(t *testing.T) {
 	cases := []struct {
-		name     string
-		deadline time.Duration
-		hangUp   time.Duration
-		exit     time.Duration
-		want     outcome.Reason
-		admitted bool
+		name        string
+		deadline    time.Duration
+		cancelAfter time.Duration
+		exitAfter   time.Duration
+		want        outcome.Reason
+		admitted    bool
 	}{
-		{"a place comes free", time.Minute, 0, time.Second, outcome.ReasonNone, true},
+		{"a slot becomes free", time.Minute, 0, time.Second, outcome.ReasonNone, true},
 		{"the deadline passes", 2 * time.Second, 0, 0, outcome.ReasonDeadline, false},
-		{"the caller hangs up", time.Minute, time.Second, 0, outcome.ReasonCallerGone, false},
+		{"the caller disconnects", time.Minute, time.Second, 0, outcome.ReasonCallerGone, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -154,11 +154,11 @@
 				gate.Enter(context.Background(), &admit.Ticket{})
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
-				if c.hangUp > 0 {
-					time.AfterFunc(c.hangUp, cancel)
+				if c.cancelAfter > 0 {
+					time.AfterFunc(c.cancelAfter, cancel)
 				}
-				if c.exit > 0 {
-					time.AfterFunc(c.exit, func() { gate.Exit(time.Second) })
+				if c.exitAfter > 0 {
+					time.AfterFunc(c.exitAfter, func() { gate.Exit(time.Second) })
 				}
 				refusal, admitted := gate.Enter(ctx, &admit.Ticket{Deadline: time.Now().Add(c.deadline)})
 				if admitted != c.admitted || refusal.Reason != c.want {
