--- a/route/doc.go
+++ b/route/doc.go
@@ -1,10 +1,11 @@
-// Package route chooses the back end for a request.
+// Package route selects the back end for a request.
 //
-// A Table says what serves which model. Picker.Pick filters the candidates of a
-// model, scores each and picks the best. It takes no lock
-// and allocates nothing, so that any number of requests can be routed at once.
+// A Table maps models and services to the back ends that serve them. Picker.Pick
+// filters the candidates of a model, scores each and picks the best. It takes no
+// lock and does not allocate, so that any number of requests can be routed
+// concurrently.
 //
-// Reports of load lag behind, so a candidate's load is what it last reported
-// from others, fading with age, plus what this daemon itself has in progress
-// there now.
+// Load reports are stale when they arrive. The load of a candidate is therefore
+// the reported load from other daemons, which decays with age, plus the requests
+// that this daemon itself has in progress there.
 package route
--- a/route/filter.go
+++ b/route/filter.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// Filter says whether a candidate may serve a request at all.
+// Filter decides whether a candidate is eligible for a request.
 type Filter interface {
 	Allows(request *Request, candidate *Candidate) bool
 }
 
-// NotExcluded turns away back ends that already refused the request.
+// NotExcluded rejects back ends that were excluded for the request, because they already refused it.
 type NotExcluded struct{}
 
 // Allows implements Filter.
@@ -15,7 +15,7 @@
 	return !request.Excludes(candidate.BackEnd.Load)
 }
 
-// HasAdapter turns away candidates without the adapter of the request.
+// HasAdapter rejects candidates without the adapter of the request.
 type HasAdapter struct{}
 
 // Allows implements Filter.
--- a/route/load.go
+++ b/route/load.go
@@ -9,81 +9,83 @@
 	"github.com/wheatweir/wheatweir/outcome"
 )
 
-// Load is what this daemon knows of the load of one back end: its own requests
-// in progress there, and the newest report. It lives as long as the daemon,
-// across tables, and changes under the tables that point to it.
+// Load tracks the load of one back end: the requests of this daemon in progress
+// there, and the latest report. Tables share it by pointer; it is updated in place
+// and persists until the daemon stops.
 type Load struct {
-	// ID is a small number for the back end, for use in hints.
-	ID         uint32
-	inFlight   atomic.Int64
-	others     atomic.Int64
-	reportedAt atomic.Int64
-	slots      atomic.Int64
-	refusedAt  atomic.Int64
-	// unreachedAt is when the last attempt got no byte of an answer, or zero.
-	unreachedAt atomic.Int64
+	// ID is a small number for the back end, for use in a PrefixIndex.
+	ID       uint32
+	inFlight atomic.Int64
+	// remoteInFlight is the number of requests of other daemons, from the latest report.
+	remoteInFlight atomic.Int64
+	reportedAt     atomic.Int64
+	slots          atomic.Int64
+	refusedAt      atomic.Int64
+	// unreachableAt is the time of the last attempt if it got no byte of an answer; otherwise zero.
+	unreachableAt atomic.Int64
 }
 
-// troubleMemory is how long a back end that turned a request away, or could not
-// be reached, is used only if nothing better is left. It bridges the time until
-// the group knows that the back end is down.
-const troubleMemory = 2 * time.Second
+// failureTTL is how long a back end that refused a request, or was unreachable,
+// is used only as a last resort. It covers the time until the group of daemons
+// detects that the back end is down.
+const failureTTL = 2 * time.Second
 
-// NoteResult takes in how an attempt at the back end ended. A back end of which no
-// byte came is in worse standing than one that turned the request away by its own
-// word: that one may still take others.
+// NoteResult records the result of an attempt at the back end. A back end that sent
+// no byte of an answer ranks below one that refused the request: the latter responds
+// and may accept other requests.
 func (l *Load) NoteResult(now time.Time, result outcome.Result) {
 	switch {
 	case result.Reason == outcome.ReasonRefused:
 		l.Refused(now)
-		l.unreachedAt.Store(0)
+		l.unreachableAt.Store(0)
 	case result.Reason == outcome.ReasonCallerGone:
 	case result.Kind == outcome.Answered || result.Status != 0:
-		l.unreachedAt.Store(0)
+		l.unreachableAt.Store(0)
 	case result.Reason == outcome.ReasonConnect || result.Reason == outcome.ReasonBroken:
-		l.unreachedAt.Store(now.UnixNano())
+		l.unreachableAt.Store(now.UnixNano())
 	}
 }
 
-// Refused notes that the back end turned a request away.
+// Refused records that the back end refused a request.
 func (l *Load) Refused(now time.Time) { l.refusedAt.Store(now.UnixNano()) }
 
-// standing says what the last attempts of this daemon showed of a back end; a
-// higher one is better.
-type standing int
+// attemptStatus is the status of a back end according to this daemon's recent
+// attempts; a higher value is better.
+type attemptStatus int
 
 const (
-	// unreached means that the last attempt got no byte of an answer.
-	unreached standing = iota
-	// refused means that a request was turned away a short while ago.
+	// unreachable means that the last attempt got no byte of an answer.
+	unreachable attemptStatus = iota
+	// refused means that the back end refused a request within failureTTL.
 	refused
-	good
+	healthy
 )
 
-func (l *Load) standing(now time.Time) standing {
+func (l *Load) attemptStatus(now time.Time) attemptStatus {
 	switch {
-	case lately(now, &l.unreachedAt):
-		return unreached
-	case lately(now, &l.refusedAt):
+	case isRecent(now, &l.unreachableAt):
+		return unreachable
+	case isRecent(now, &l.refusedAt):
 		return refused
 	default:
-		return good
+		return healthy
 	}
 }
 
-func lately(now time.Time, at *atomic.Int64) bool {
-	return now.UnixNano()-at.Load() < int64(troubleMemory)
+func isRecent(now time.Time, at *atomic.Int64) bool {
+	return now.UnixNano()-at.Load() < int64(failureTTL)
 }
 
-// SetReport takes in a report: the requests at the back end and its batch
-// slots. Requests of this daemon itself are not counted twice.
+// SetReport records a load report: the requests at the back end and its batch
+// slots. The requests of this daemon are subtracted, so that they are not counted
+// twice.
 func (l *Load) SetReport(requests, slots int, at time.Time) {
-	l.others.Store(max(int64(requests)-l.inFlight.Load(), 0))
+	l.remoteInFlight.Store(max(int64(requests)-l.inFlight.Load(), 0))
 	l.reportedAt.Store(at.UnixNano())
 	l.slots.Store(int64(slots))
 }
 
-// Slots returns the batch slots of the back end.
+// Slots returns the number of batch slots of the back end.
 func (l *Load) Slots() int {
 	if slots := l.slots.Load(); slots > 0 {
 		return int(slots)
@@ -94,16 +96,16 @@
 // defaultSlots is assumed for a back end that has not reported.
 const defaultSlots = 16
 
-// Expected returns the requests expected at the back end now: own ones, and
-// those of others fading by half in each half-life.
+// Expected returns the expected number of requests at the back end: those of this
+// daemon, plus those of other daemons with exponential decay by the half-life.
 func (l *Load) Expected(now time.Time, halfLife time.Duration) float64 {
 	own := float64(l.inFlight.Load())
-	others := l.others.Load()
-	if others == 0 {
+	remoteInFlight := l.remoteInFlight.Load()
+	if remoteInFlight == 0 {
 		return own
 	}
 	age := now.UnixNano() - l.reportedAt.Load()
-	return own + float64(others)*math.Exp2(-float64(age)/float64(halfLife))
+	return own + float64(remoteInFlight)*math.Exp2(-float64(age)/float64(halfLife))
 }
 
 // Begin counts a request that was sent to the back end.
@@ -112,16 +114,16 @@
 // End counts a request that the back end has finished.
 func (l *Load) End() { l.inFlight.Add(-1) }
 
-// InFlight returns the number of own requests in progress.
+// InFlight returns the number of this daemon's requests in progress.
 func (l *Load) InFlight() int64 { return l.inFlight.Load() }
 
-// Loads hands out the Load of each back end.
+// Loads is a registry of the Load of each back end.
 type Loads struct {
 	mutex  sync.Mutex
 	byName map[string]*Load
 }
 
-// NewLoads returns an empty set.
+// NewLoads returns an empty registry.
 func NewLoads() *Loads { return &Loads{byName: map[string]*Load{}} }
 
 // Get returns the load of a back end and creates it on first use.
--- a/route/picker.go
+++ b/route/picker.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Picker chooses a candidate by filters and scorers.
+// Picker selects a candidate by filters and scorers.
 type Picker struct {
 	filters []Filter
 	scorers []Scorer
 }
 
-// NewPicker returns a picker with the given parts.
+// NewPicker returns a picker with the given filters and scorers.
 func NewPicker(filters []Filter, scorers []Scorer) *Picker {
 	return &Picker{filters: filters, scorers: scorers}
 }
@@ -30,40 +30,40 @@
 }
 
 const (
-	// scoredCandidates is how many candidates are scored; with more, a random
-	// window of this length is, which keeps the cost of a choice bounded and
-	// keeps daemons that see the same reports from all choosing the same.
-	scoredCandidates = 6
+	// maxScoredCandidates is the number of candidates after which scoring stops if
+	// a preferred one was found. The first one is random. This bounds the cost of a
+	// choice, and daemons with the same reports do not all choose the same candidate.
+	maxScoredCandidates = 6
 )
 
-// trust says how far a candidate can be expected to take a request. A candidate
-// of lower trust is picked only if none of higher trust is left: it would refuse
-// at once, and since refusals keep its load low, a score alone would send it
-// ever more requests.
-type trust int
+// preference is a class of candidates by how likely they are to accept a request.
+// A candidate of a lower class is picked only if none of a higher class is left. It
+// would refuse immediately, and since refusals keep its load low, scores alone
+// would send it more and more requests.
+type preference int
 
 const (
-	// notObserved means that no report shows the replica; it may still load.
-	notObserved trust = iota
-	// unreachedLately means that it serves as far as known, but that the last
-	// attempt did not reach it.
-	unreachedLately
-	// refusedLately means that it serves but turned a request away.
-	refusedLately
-	trusted
+	// notObserved means that no report shows the replica; it may still be loading.
+	notObserved preference = iota
+	// recentlyUnreachable means that the replica was reported as serving, but the
+	// last attempt did not reach it.
+	recentlyUnreachable
+	// recentlyRefused means that the replica serves but refused a request within failureTTL.
+	recentlyRefused
+	preferred
 )
 
-func trustOf(now time.Time, candidate *Candidate) trust {
+func preferenceOf(now time.Time, candidate *Candidate) preference {
 	if !candidate.Observed {
 		return notObserved
 	}
-	switch candidate.BackEnd.Load.standing(now) {
-	case unreached:
-		return unreachedLately
+	switch candidate.BackEnd.Load.attemptStatus(now) {
+	case unreachable:
+		return recentlyUnreachable
 	case refused:
-		return refusedLately
+		return recentlyRefused
 	default:
-		return trusted
+		return preferred
 	}
 }
 
@@ -75,23 +75,23 @@
 	}
 	start := int(request.Random % uint64(count))
 	var best *Candidate
-	bestScore, bestTrust := math.Inf(1), notObserved
+	bestScore, bestPreference := math.Inf(1), notObserved
 	scored := 0
 	for offset := range count {
 		candidate := &model.Candidates[(start+offset)%count]
 		if !p.allows(request, candidate) {
 			continue
 		}
-		trust := trustOf(now, candidate)
-		if trust < bestTrust {
+		preference := preferenceOf(now, candidate)
+		if preference < bestPreference {
 			continue
 		}
 		score := p.score(now, request, candidate)
-		if score < bestScore || trust > bestTrust {
-			best, bestScore, bestTrust = candidate, score, trust
+		if score < bestScore || preference > bestPreference {
+			best, bestScore, bestPreference = candidate, score, preference
 		}
 		scored++
-		if scored >= scoredCandidates && bestTrust == trusted {
+		if scored >= maxScoredCandidates && bestPreference == preferred {
 			break
 		}
 	}
@@ -115,9 +115,9 @@
 	return total
 }
 
-// PickMachine returns the machine of a service with the fewest own requests in
-// progress that was not excluded, or nil. One that turned a request away lately
-// is picked only if no better is left, and one that was not reached after that.
+// PickMachine returns the machine of a service with the fewest requests of this
+// daemon in progress, or nil. It skips excluded machines. One that recently refused
+// a request is picked only if no better one is left, and an unreachable one last.
 func PickMachine(now time.Time, service *Service, request *Request) *BackEnd {
 	count := len(service.Machines)
 	var best *BackEnd
@@ -134,9 +134,9 @@
 }
 
 func betterMachine(now time.Time, machine, best *BackEnd) bool {
-	standing, bestStanding := machine.Load.standing(now), best.Load.standing(now)
-	if standing != bestStanding {
-		return standing > bestStanding
+	attemptStatus, bestAttemptStatus := machine.Load.attemptStatus(now), best.Load.attemptStatus(now)
+	if attemptStatus != bestAttemptStatus {
+		return attemptStatus > bestAttemptStatus
 	}
 	return machine.Load.InFlight() < best.Load.InFlight()
 }
--- a/route/prefix.go
+++ b/route/prefix.go
@@ -7,29 +7,29 @@
 )
 
 const (
-	// prefixBlockBytes is the length of one block of a prompt's prefix.
+	// prefixBlockBytes is the size of one block of a prompt's prefix.
 	prefixBlockBytes = 512
-	// prefixBlocks is the number of blocks that are looked at.
-	prefixBlocks = 8
-	// prefixIndexSize is the number of hints; a power of two.
+	// maxPrefixBlocks is the maximum number of blocks that are hashed.
+	maxPrefixBlocks = 8
+	// prefixIndexSize is the number of slots in a PrefixIndex; a power of two.
 	prefixIndexSize = 1 << 15
-	// prefixWays is how many back ends one prefix is remembered for.
+	// prefixWays is the number of back ends stored per slot.
 	prefixWays = 2
 )
 
-// PrefixHashes are the hashes of a prompt's first blocks, each of all bytes up
-// to the block's end.
+// PrefixHashes contains the hashes of a prompt's first blocks. Each hash covers all
+// bytes up to the end of its block.
 type PrefixHashes struct {
-	Hashes [prefixBlocks]uint64
+	Hashes [maxPrefixBlocks]uint64
 	Count  int
 }
 
-// HashPrefix hashes the prefix of a prompt for one model reference.
+// HashPrefix hashes the prefix of a prompt for a model reference.
 func HashPrefix(reference string, prompt []byte) PrefixHashes {
 	var prefix PrefixHashes
 	digest := xxhash.New()
 	_, _ = digest.WriteString(reference)
-	for prefix.Count < prefixBlocks && len(prompt) >= prefixBlockBytes {
+	for prefix.Count < maxPrefixBlocks && len(prompt) >= prefixBlockBytes {
 		_, _ = digest.Write(prompt[:prefixBlockBytes])
 		prompt = prompt[prefixBlockBytes:]
 		prefix.Hashes[prefix.Count] = digest.Sum64()
@@ -38,18 +38,19 @@
 	return prefix
 }
 
-// PrefixIndex remembers which back ends got which prefix. It is a hint: entries
-// may be overwritten at any time and may be wrong, which costs speed only.
+// PrefixIndex maps prefixes to the back ends that recently received them. It is a
+// hint: entries may be overwritten at any time and may be wrong, which affects only
+// performance.
 type PrefixIndex struct {
 	slots [prefixIndexSize][prefixWays]atomic.Uint64
 }
 
-// entryOf packs the upper half of a hash and a back end's number.
+// entryOf packs the upper half of a hash and the ID of a back end.
 func entryOf(hash uint64, backEnd uint32) uint64 {
 	return hash&^uint64(1<<32-1) | uint64(backEnd)
 }
 
-// Record notes that a back end got the prefix.
+// Record records that a back end received the prefix.
 func (x *PrefixIndex) Record(prefix *PrefixHashes, backEnd uint32) {
 	for _, hash := range prefix.Hashes[:prefix.Count] {
 		slot := &x.slots[hash%prefixIndexSize]
@@ -63,7 +64,7 @@
 	}
 }
 
-// Match returns how many blocks of the prefix the back end is known to have.
+// Match returns the number of blocks in the longest prefix that the back end is recorded for.
 func (x *PrefixIndex) Match(prefix *PrefixHashes, backEnd uint32) int {
 	for count := prefix.Count; count > 0; count-- {
 		hash := prefix.Hashes[count-1]
--- a/route/request.go
+++ b/route/request.go
@@ -1,25 +1,26 @@
 package route
 
-// maxExcluded is how many back ends one request can have been turned away by.
+// maxExcluded is the maximum number of back ends that one request can exclude.
 const maxExcluded = 8
 
-// Request is what a choice depends on. It holds no pointers to the request's
-// body, so it can be kept after the body's buffer is used again.
+// Request contains the properties of a request that routing depends on. It has no
+// pointers to the request's body, so it remains valid after the body's buffer is
+// reused.
 type Request struct {
 	Adapter string
-	// Zone and Region are where the request is now.
+	// Zone and Region are the current location of the request.
 	Zone   string
 	Region string
-	// Prefix holds the hashes of the prompt's prefixes, shortest first.
+	// Prefix contains the hashes of the prompt's prefixes, shortest first.
 	Prefix PrefixHashes
-	// Random decides between equal candidates.
+	// Random selects the first candidate to consider, and so decides between equal candidates.
 	Random uint64
 
 	excluded      [maxExcluded]uint32
 	excludedCount int
 }
 
-// Exclude keeps a back end from being picked again for this request.
+// Exclude prevents a back end from being picked again for this request.
 func (r *Request) Exclude(load *Load) {
 	if r.excludedCount < maxExcluded {
 		r.excluded[r.excludedCount] = load.ID
@@ -27,7 +28,7 @@
 	}
 }
 
-// Excludes reports whether a back end was excluded.
+// Excludes reports whether a back end is excluded.
 func (r *Request) Excludes(load *Load) bool {
 	for _, id := range r.excluded[:r.excludedCount] {
 		if id == load.ID {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -9,14 +9,14 @@
 	"github.com/wheatweir/wheatweir/route"
 )
 
-// Ends of an attempt, as the clients of back ends give them.
+// Results of an attempt, as the clients of back ends return them.
 var (
-	notReached = outcome.Result{Kind: outcome.NotRun, Reason: outcome.ReasonConnect}
-	cutOff     = outcome.Result{Kind: outcome.Unknown, Reason: outcome.ReasonBroken}
-	turnedAway = outcome.Result{Kind: outcome.NotRun, Reason: outcome.ReasonRefused, Status: 503}
-	serverFail = outcome.Result{Kind: outcome.Failed, Reason: outcome.ReasonBroken, Status: 500}
-	callerGone = outcome.Result{Kind: outcome.Unknown, Reason: outcome.ReasonCallerGone}
-	answered   = outcome.Result{Kind: outcome.Answered, Status: 200}
+	unreachable      = outcome.Result{Kind: outcome.NotRun, Reason: outcome.ReasonConnect}
+	connectionBroken = outcome.Result{Kind: outcome.Unknown, Reason: outcome.ReasonBroken}
+	refused          = outcome.Result{Kind: outcome.NotRun, Reason: outcome.ReasonRefused, Status: 503}
+	serverError      = outcome.Result{Kind: outcome.Failed, Reason: outcome.ReasonBroken, Status: 500}
+	callerGone       = outcome.Result{Kind: outcome.Unknown, Reason: outcome.ReasonCallerGone}
+	answered         = outcome.Result{Kind: outcome.Answered, Status: 200}
 )
 
 func newBackEnd(loads *route.Loads, name, zone string, requests, slots int, at time.Time) *route.BackEnd {
@@ -36,42 +36,42 @@
 		adjust func(a, b *route.Candidate, request *route.Request, index *route.PrefixIndex)
 		want   string
 	}{
-		{"less loaded wins", func(a, _ *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
+		{"lower load is preferred", func(a, _ *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
 			a.BackEnd.Load.SetReport(10, 10, now)
 		}, "b"},
-		{"an old report fades", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
+		{"old report decays", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
 			a.BackEnd.Load.SetReport(10, 10, now.Add(-time.Minute))
 			b.BackEnd.Load.SetReport(3, 10, now)
 		}, "a"},
-		{"own requests count at once", func(a, _ *route.Candidate, _ *route.Request, _ *route.PrefixIndex) { a.BackEnd.Load.Begin() }, "b"},
-		{"own zone wins", func(a, b *route.Candidate, request *route.Request, _ *route.PrefixIndex) {
+		{"own requests count immediately", func(a, _ *route.Candidate, _ *route.Request, _ *route.PrefixIndex) { a.BackEnd.Load.Begin() }, "b"},
+		{"own zone is preferred", func(a, b *route.Candidate, request *route.Request, _ *route.PrefixIndex) {
 			request.Zone, a.BackEnd.Zone, b.BackEnd.Zone = "z2", "z1", "z2"
 		}, "b"},
-		{"own region wins over a little load", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
+		{"own region outweighs a small load", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
 			a.BackEnd.Region = "far"
 			b.BackEnd.Load.SetReport(4, 10, now)
 		}, "b"},
-		{"a known prefix wins over a little load", func(_, b *route.Candidate, request *route.Request, index *route.PrefixIndex) {
+		{"recorded prefix outweighs a small load", func(_, b *route.Candidate, request *route.Request, index *route.PrefixIndex) {
 			request.Prefix = route.HashPrefix("m", make([]byte, 4096))
 			index.Record(&request.Prefix, b.BackEnd.Load.ID)
 			b.BackEnd.Load.SetReport(3, 10, now)
 		}, "b"},
-		{"a missing adapter rules out", func(a, _ *route.Candidate, request *route.Request, _ *route.PrefixIndex) {
+		{"missing adapter makes a candidate ineligible", func(a, _ *route.Candidate, request *route.Request, _ *route.PrefixIndex) {
 			request.Adapter, a.Adapters = "law", nil
 		}, "b"},
 		{"an excluded back end is not picked again", func(a, _ *route.Candidate, request *route.Request, _ *route.PrefixIndex) {
 			request.Exclude(a.BackEnd.Load)
 		}, "b"},
-		{"the serving version wins over some load", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
+		{"serving version outweighs a moderate load", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
 			a.Serving = false
 			b.BackEnd.Load.SetReport(9, 10, now)
 		}, "b"},
-		{"an old version takes what the serving one cannot", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
+		{"old version is picked if the serving one is overloaded", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
 			a.Serving = false
 			b.BackEnd.Load.SetReport(20, 10, now)
 		}, "a"},
-		{"a draining back end is spared", func(a, _ *route.Candidate, _ *route.Request, _ *route.PrefixIndex) { a.Draining = true }, "b"},
-		{"an observed replica wins over any load", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
+		{"draining back end is avoided", func(a, _ *route.Candidate, _ *route.Request, _ *route.PrefixIndex) { a.Draining = true }, "b"},
+		{"observed replica is preferred at any load", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
 			a.Observed = false
 			b.BackEnd.Load.SetReport(900, 10, now)
 		}, "b"},
@@ -79,61 +79,61 @@
 			a.Observed = false
 			request.Exclude(b.BackEnd.Load)
 		}, "a"},
-		{"a back end that refused lately is the last resort", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
+		{"back end that recently refused is the last resort", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
 			a.BackEnd.Load.Refused(now)
 			b.BackEnd.Load.SetReport(900, 10, now)
 		}, "b"},
-		{"a full replica wins over one that still loads", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
+		{"full replica is preferred to one that may still be loading", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
 			a.Observed = false
 			b.BackEnd.Load.Refused(now)
 			b.BackEnd.Load.SetReport(900, 10, now)
 		}, "b"},
-		{"a refusal is forgotten", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
+		{"refusal expires", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
 			a.BackEnd.Load.Refused(now.Add(-time.Minute))
 			b.BackEnd.Load.SetReport(9, 10, now)
 		}, "a"},
-		{"a back end that was not reached takes less than one that refused", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
-			a.BackEnd.Load.NoteResult(now, notReached)
-			b.BackEnd.Load.NoteResult(now, turnedAway)
+		{"unreachable back end ranks below one that refused", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
+			a.BackEnd.Load.NoteResult(now, unreachable)
+			b.BackEnd.Load.NoteResult(now, refused)
 			b.BackEnd.Load.SetReport(40, 10, now)
 		}, "b"},
-		{"a back end that cut a request off before its answer began is avoided", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
-			a.BackEnd.Load.NoteResult(now, cutOff)
+		{"back end that broke the connection before its answer began is avoided", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
+			a.BackEnd.Load.NoteResult(now, connectionBroken)
 			b.BackEnd.Load.SetReport(40, 10, now)
 		}, "b"},
-		{"a back end that was not reached wins over one that still loads", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
+		{"unreachable back end is preferred to one that may still be loading", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
 			a.Observed = false
-			b.BackEnd.Load.NoteResult(now, notReached)
+			b.BackEnd.Load.NoteResult(now, unreachable)
 		}, "b"},
-		{"an answer shows that the back end is reached again", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
-			a.BackEnd.Load.NoteResult(now, notReached)
+		{"answer ends the unreachable status", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
+			a.BackEnd.Load.NoteResult(now, unreachable)
 			a.BackEnd.Load.NoteResult(now, answered)
 			b.BackEnd.Load.SetReport(40, 10, now)
 		}, "a"},
-		{"a refusal shows that the back end is reached again", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
-			a.BackEnd.Load.NoteResult(now, notReached)
-			a.BackEnd.Load.NoteResult(now, turnedAway)
-			b.BackEnd.Load.NoteResult(now, notReached)
+		{"refusal ends the unreachable status", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
+			a.BackEnd.Load.NoteResult(now, unreachable)
+			a.BackEnd.Load.NoteResult(now, refused)
+			b.BackEnd.Load.NoteResult(now, unreachable)
 			a.BackEnd.Load.SetReport(40, 10, now)
 		}, "a"},
-		{"an answer does not undo a refusal", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
-			a.BackEnd.Load.NoteResult(now, turnedAway)
+		{"answer does not reset a refusal", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
+			a.BackEnd.Load.NoteResult(now, refused)
 			a.BackEnd.Load.NoteResult(now, answered)
 			b.BackEnd.Load.SetReport(40, 10, now)
 		}, "b"},
-		{"an error of its own does not count as not reached", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
-			a.BackEnd.Load.NoteResult(now, serverFail)
+		{"error response does not count as unreachable", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
+			a.BackEnd.Load.NoteResult(now, serverError)
 			b.BackEnd.Load.SetReport(9, 10, now)
 		}, "a"},
-		{"a caller that left says nothing about the back end", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
+		{"disconnect of the caller does not count against the back end", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
 			a.BackEnd.Load.NoteResult(now, callerGone)
 			b.BackEnd.Load.SetReport(9, 10, now)
 		}, "a"},
-		{"that a back end was not reached is forgotten", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
-			a.BackEnd.Load.NoteResult(now.Add(-time.Minute), notReached)
+		{"unreachable status expires", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
+			a.BackEnd.Load.NoteResult(now.Add(-time.Minute), unreachable)
 			b.BackEnd.Load.SetReport(9, 10, now)
 		}, "a"},
-		{"nothing left", func(a, b *route.Candidate, request *route.Request, _ *route.PrefixIndex) {
+		{"all candidates are excluded", func(a, b *route.Candidate, request *route.Request, _ *route.PrefixIndex) {
 			request.Exclude(a.BackEnd.Load)
 			request.Exclude(b.BackEnd.Load)
 		}, ""},
@@ -157,8 +157,8 @@
 	}
 }
 
-// TestPickMachine chooses among the machines of a service by what the last attempts
-// at them showed.
+// TestPickMachine checks that the results of recent attempts determine the choice
+// among the machines of a service.
 func TestPickMachine(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cases := []struct {
@@ -166,10 +166,10 @@
 		a, b []outcome.Result
 		want string
 	}{
-		{"fewer own requests win", nil, nil, "a"},
-		{"a refusal is avoided", []outcome.Result{turnedAway}, nil, "b"},
-		{"a machine that was not reached takes less than one that refused", []outcome.Result{notReached}, []outcome.Result{turnedAway}, "b"},
-		{"a machine that was not reached and then answered", []outcome.Result{notReached, answered}, []outcome.Result{turnedAway}, "a"},
+		{"fewer own requests are preferred", nil, nil, "a"},
+		{"a refusal is avoided", []outcome.Result{refused}, nil, "b"},
+		{"unreachable machine ranks below one that refused", []outcome.Result{unreachable}, []outcome.Result{refused}, "b"},
+		{"machine that was unreachable and then answered", []outcome.Result{unreachable, answered}, []outcome.Result{refused}, "a"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -198,8 +198,8 @@
 	}
 }
 
-// newTable returns size models on size back ends, with a tenth of the back ends
-// holding each model.
+// newTable returns a table of size models on size back ends. Each model has
+// candidates on a tenth of the back ends.
 func newTable(size int) (*route.Table, *route.Picker) {
 	loads, index, now := route.NewLoads(), &route.PrefixIndex{}, time.Now()
 	var backEnds []*route.BackEnd
@@ -217,8 +217,9 @@
 	return table, route.DefaultPicker(index)
 }
 
-// BenchmarkPick is a routing decision: the model by name and the choice. The
-// request's state is kept with the request, as in the daemon.
+// BenchmarkPick measures a routing decision: the lookup of the model by name and
+// the choice. The route.Request is reused by all iterations, so that it is not
+// allocated per decision; the daemon keeps it with the request.
 func BenchmarkPick(b *testing.B) {
 	for _, size := range []int{60, 600} {
 		b.Run(fmt.Sprintf("models=%d/back_ends=%d", size, size), func(b *testing.B) {
--- a/route/scorer.go
+++ b/route/scorer.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Scorer rates a candidate; lower is better. Scores of all scorers are summed.
-// One unit is the cost of a whole batch of waiting requests.
+// Scorer scores a candidate; lower is better. The scores of all scorers are added.
+// A score of one is the cost of a full batch of waiting requests.
 type Scorer interface {
 	Score(now time.Time, request *Request, candidate *Candidate) float64
 }
 
-// LoadScorer rates by expected load for each batch slot.
+// LoadScorer scores by expected load per batch slot.
 type LoadScorer struct {
-	// HalfLife is the age at which a report of others' load counts half.
+	// HalfLife is the age at which the reported load from other daemons counts half.
 	HalfLife time.Duration
 }
 
@@ -20,10 +20,10 @@
 	return load.Expected(now, s.HalfLife) / float64(load.Slots())
 }
 
-// PrefixScorer favours the back end that last got the longest known prefix.
+// PrefixScorer favours back ends that recently received the longest matching prefix.
 type PrefixScorer struct {
 	Index *PrefixIndex
-	// Bonus is taken off the score for a match of all blocks.
+	// Bonus is subtracted from the score if all blocks match, and in proportion if fewer do.
 	Bonus float64
 }
 
@@ -36,8 +36,8 @@
 	return -s.Bonus * float64(matched) / float64(request.Prefix.Count)
 }
 
-// PlaceScorer adds a cost for leaving the zone, and another for leaving the
-// region.
+// PlaceScorer adds a cost for candidates in another zone, and another for those in
+// another region.
 type PlaceScorer struct {
 	ZoneCost   float64
 	RegionCost float64
@@ -55,9 +55,9 @@
 	return cost
 }
 
-// StateScorer adds a cost for replicas that hold a version other than the
-// configured one, or whose back end is to be emptied. They still take what the
-// others cannot.
+// StateScorer adds a cost for replicas of a version other than the configured one,
+// and for those on a draining back end. They still receive requests that the other
+// replicas have no capacity for.
 type StateScorer struct {
 	OldVersionCost float64
 	DrainingCost   float64
--- a/route/table.go
+++ b/route/table.go
@@ -2,8 +2,8 @@
 
 import "github.com/wheatweir/wheatweir/api"
 
-// Table is a view of what serves which model and service. It is never changed,
-// but the Load of each back end that it points to is.
+// Table maps models and services to the back ends that serve them. It is immutable,
+// except for the Load of each back end, which it shares with other tables.
 type Table struct {
 	Models   map[string]*Model
 	Services map[string]*Service
@@ -15,7 +15,7 @@
 	Candidates []Candidate
 }
 
-// Slots returns the batch slots of all candidates.
+// Slots returns the total number of batch slots of all candidates.
 func (m *Model) Slots() int {
 	total := 0
 	for i := range m.Candidates {
@@ -28,18 +28,18 @@
 type Candidate struct {
 	BackEnd *BackEnd
 	Version string
-	// Serving says that the version is the one configured for new requests.
+	// Serving means that the version is the one configured for new requests.
 	Serving bool
-	// Observed says that a recent report shows the weights in memory.
+	// Observed means that a recent report shows the weights in memory.
 	Observed bool
-	// Draining says that an operator wants the back end empty. It is used
-	// only while nothing else serves the model.
+	// Draining means that an operator is draining the back end. It is used only
+	// if no other back end can serve the model.
 	Draining bool
-	// Adapters lists the adapters that are known, or assumed, to be there.
+	// Adapters lists the adapters that are reported, or assumed, to be loaded.
 	Adapters []string
 }
 
-// BackEnd is one engine as routing sees it.
+// BackEnd is an engine or a service's machine, with the properties that routing uses.
 type BackEnd struct {
 	Name    string
 	Address string
@@ -48,7 +48,7 @@
 	Load    *Load
 }
 
-// Service is one plain service with the machines that run it.
+// Service is a service without models, with the machines that run it.
 type Service struct {
 	Spec     api.Service
 	Machines []*BackEnd
