--- a/fleet/configuration.go
+++ b/fleet/configuration.go
@@ -44,7 +44,7 @@
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
 	Kind       RouteKind
-	// Timeout is the maximum time that a request may take in the daemon.
+	// Timeout is the maximum time that the daemon may hold a request.
 	Timeout time.Duration
 	// TargetLatency is the maximum latency at which an answer counts in full.
 	TargetLatency time.Duration
@@ -153,7 +153,7 @@
 
 // Configuration is one version of the operator's configuration.
 type Configuration struct {
-	// Version increases with each change.
+	// Version never decreases.
 	Version  uint64
 	Routes   []Route
 	Services []Service
--- a/fleet/urgency.go
+++ b/fleet/urgency.go
@@ -37,9 +37,9 @@
 	byService := map[string]urgency{}
 	for i := range routes {
 		for _, target := range routes[i].Targets {
-			current := byService[target.Service]
-			current.add(&routes[i])
-			byService[target.Service] = current
+			serviceUrgency := byService[target.Service]
+			serviceUrgency.add(&routes[i])
+			byService[target.Service] = serviceUrgency
 		}
 	}
 	return byService
@@ -48,9 +48,9 @@
 // Yields reports whether background requests of the route yield to urgent ones of the service. They do if there is
 // an urgent route and the target latency of this route is at least yieldTargetRatio times the shortest one.
 func (v *View) Yields(route *Route, service string) bool {
-	current := v.urgencies[service]
-	if !current.urgent || current.shortestTarget == 0 {
+	serviceUrgency := v.urgencies[service]
+	if !serviceUrgency.urgent || serviceUrgency.shortestTarget == 0 {
 		return false
 	}
-	return route.TargetLatency >= yieldTargetRatio*current.shortestTarget
+	return route.TargetLatency >= yieldTargetRatio*serviceUrgency.shortestTarget
 }
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -45,12 +45,12 @@
 // WithInstances returns a snapshot with some instances added or replaced by ID, and others
 // removed. There may be thousands of instances, and a few of them change many times per
 // second: unchanged entries are copied instead of being rebuilt.
-func (v *View) WithInstances(changed []*Instance, gone []string) *View {
-	edits := make([]edit, 0, len(changed)+len(gone))
+func (v *View) WithInstances(changed []*Instance, removed []string) *View {
+	edits := make([]edit, 0, len(changed)+len(removed))
 	for _, instance := range changed {
 		edits = append(edits, edit{instance.ID, instance})
 	}
-	for _, id := range gone {
+	for _, id := range removed {
 		edits = append(edits, edit{id, nil})
 	}
 	slices.SortFunc(edits, func(a, b edit) int { return strings.Compare(a.id, b.id) })
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -20,11 +20,11 @@
 		for range rapid.IntRange(1, 12).Draw(t, "changes") {
 			before, wantBefore := view, maps.Clone(want)
 			var changed []*Instance
-			var gone []string
+			var removed []string
 			for number := range rapid.IntRange(0, 6).Draw(t, "instances") {
 				id := fmt.Sprint("i", number, rapid.IntRange(0, 3).Draw(t, "id"))
 				if rapid.Bool().Draw(t, "gone") {
-					gone = append(gone, id)
+					removed = append(removed, id)
 					delete(want, id)
 					continue
 				}
@@ -32,7 +32,7 @@
 				changed = append(changed, instance)
 				want[id] = instance
 			}
-			view = view.WithInstances(changed, gone)
+			view = view.WithInstances(changed, removed)
 			requireInstances(t, view, want)
 			requireInstances(t, before, wantBefore)
 		}
--- a/route/load.go
+++ b/route/load.go
@@ -54,7 +54,7 @@
 type attemptStatus int
 
 const (
-	// unreachable means that the last attempt got no byte of an answer.
+	// unreachable means that the last attempt, within failureTTL, got no byte of an answer.
 	unreachable attemptStatus = iota
 	// refused means that the back end refused a request within failureTTL.
 	refused
--- a/route/picker.go
+++ b/route/picker.go
@@ -82,13 +82,13 @@
 		if !p.allows(request, candidate) {
 			continue
 		}
-		preference := preferenceOf(now, candidate)
-		if preference < bestPreference {
+		candidatePreference := preferenceOf(now, candidate)
+		if candidatePreference < bestPreference {
 			continue
 		}
 		score := p.score(now, request, candidate)
-		if score < bestScore || preference > bestPreference {
-			best, bestScore, bestPreference = candidate, score, preference
+		if score < bestScore || candidatePreference > bestPreference {
+			best, bestScore, bestPreference = candidate, score, candidatePreference
 		}
 		scored++
 		if scored >= maxScoredCandidates && bestPreference == preferred {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -218,8 +218,8 @@
 }
 
 // BenchmarkPick measures a routing decision: the lookup of the model by name and
-// the choice. The route.Request is reused by all iterations, so that it is not
-// allocated per decision; the daemon keeps it with the request.
+// the choice. The route.Request is declared outside the loop, since the daemon keeps
+// it with the request.
 func BenchmarkPick(b *testing.B) {
 	for _, size := range []int{60, 600} {
 		b.Run(fmt.Sprintf("models=%d/back_ends=%d", size, size), func(b *testing.B) {
