--- a/resumption/doc.go
+++ b/resumption/doc.go
@@ -1,61 +1,61 @@
-// Package resumption knows which software version began a stream. Servers of several versions may serve side by side; what two
-// of them write does not fit together, and servers do not check it. So a stream that breaks off goes on at its version only,
-// also where its client takes it up at a daemon that has not begun it.
+// Package resumption tracks which software version began a stream. Instances of several versions may serve at the same time.
+// Their outputs cannot be joined into one stream, and the instances do not check this. An interrupted stream therefore
+// resumes only at the version that began it, also when its client resumes it at a daemon that did not begin it.
 //
-// While a service has one version there is nothing to tell: each daemon keeps its own streams. As soon as a second one is
-// seen, each daemon tells two others, drawn by rendezvous of the stream's ID, which version began its streams. A daemon that
-// a client takes a stream up at asks those that may have been told. Where nobody knows, the stream does not go on unless
-// the service has had one version for as long as a client waits.
+// While a service has one version, no messages are needed: each daemon records only its own streams. As soon as a second
+// version is seen, each daemon sends the versions of its streams to two other daemons, selected by rendezvous hashing of
+// the stream's ID. A daemon at which a client resumes a stream queries the daemons that may have received its version. If
+// none of them has it, the stream resumes only if the service has had a single version for as long as a client may wait.
 //
 // A Keeper does no I/O and reads no clock. It is safe for concurrent use.
 package resumption
 
 import "time"
 
-// Began is what began a stream.
+// Began identifies the service and software version that began a stream.
 type Began struct {
 	Service  string `msgpack:"s,omitempty"`
 	Software string `msgpack:"v,omitempty"`
 }
 
-// Stream is what is kept of a stream.
+// Stream is the record of a resumable stream.
 type Stream struct {
-	// ID is that of the request that brought its first event.
+	// ID is the ID of the request that delivered the stream's first event.
 	ID       string `msgpack:"i"`
 	Service  string `msgpack:"s"`
 	Software string `msgpack:"v,omitempty"`
-	// Left is how much longer its client may take it up.
+	// Left is the remaining time in which the client may resume the stream.
 	Left time.Duration `msgpack:"l"`
 }
 
-// Message is what daemons tell each other about streams; one field is set.
+// Message is a message about streams between daemons; exactly one field is set.
 type Message struct {
 	Streams  []Stream  `msgpack:"s,omitempty"`
 	Question *Question `msgpack:"q,omitempty"`
 	Answer   *Answer   `msgpack:"a,omitempty"`
 }
 
-// Question asks what began a stream, and which versions a service has had.
+// Question requests the version that began a stream, and the recent versions of its service.
 type Question struct {
-	// ID pairs the answer with the question.
+	// ID matches the answer to the question.
 	ID      uint64 `msgpack:"i"`
 	Stream  string `msgpack:"t"`
 	Service string `msgpack:"s"`
 }
 
-// Answer is what a daemon knows of it.
+// Answer is a daemon's response to a Question.
 type Answer struct {
 	ID uint64 `msgpack:"i"`
-	// Known says that the daemon knows what began the stream.
+	// Known reports whether the daemon has a record of what began the stream.
 	Known bool  `msgpack:"k,omitempty"`
 	Began Began `msgpack:"b"`
-	// Versions are all that the service has had lately, as far as the daemon knows, and Fresh says that it hears of new
-	// servers.
+	// Versions are the recent versions of the service that the daemon has seen. Fresh reports whether the daemon currently
+	// receives updates about new instances.
 	Versions []string `msgpack:"n,omitempty"`
 	Fresh    bool     `msgpack:"f,omitempty"`
 }
 
-// Tell is what to tell one daemon.
+// Tell is the update to send to one daemon.
 type Tell struct {
 	Daemon  string
 	Streams []Stream
--- a/resumption/keeper_test.go
+++ b/resumption/tracker_test.go
@@ -12,8 +12,8 @@
 	return Stream{ID: id, Service: "svc", Software: software, Left: 10 * time.Second}
 }
 
-// TestDecide guards against a stream that goes on although nobody can know which version began it, and against one that is
-// refused although there is only one.
+// TestDecide guards against resuming a stream whose version cannot be determined, and against refusing a stream of a service
+// that has only one version.
 func TestDecide(t *testing.T) {
 	one, other := &Answer{Versions: []string{"v1"}}, &Answer{Versions: []string{"v1", "v2"}, Fresh: true}
 	cases := []struct {
@@ -25,17 +25,17 @@
 		known   bool
 	}{
 		{"one version", []string{"v1"}, true, true, []*Answer{one}, true},
-		{"one version, nobody answers", []string{"v1"}, true, true, nil, true},
+		{"one version, no answers", []string{"v1"}, true, true, nil, true},
 		{"two versions", []string{"v1", "v2"}, true, true, []*Answer{one}, false},
-		{"another daemon has seen a second one", []string{"v1"}, true, true, []*Answer{one, other}, false},
-		{"another daemon has only seen another one", []string{"v2"}, true, true, []*Answer{one}, false},
-		{"cut off, nobody answers", []string{"v1"}, false, true, nil, false},
-		{"cut off, as all that answer", []string{"v1"}, false, true, []*Answer{one}, false},
-		{"cut off, one that answers is not", []string{"v1"}, false, true, []*Answer{one, {Versions: []string{"v1"}, Fresh: true}}, true},
-		{"a client that does not name the stream", []string{"v1"}, false, false, nil, true},
-		{"such a client, two versions", []string{"v1", "v2"}, true, false, nil, false},
-		{"no server was ever seen", nil, true, true, nil, false},
-		{"servers that say no version", []string{""}, true, true, nil, true},
+		{"another daemon has seen a second version", []string{"v1"}, true, true, []*Answer{one, other}, false},
+		{"another daemon has seen only a different version", []string{"v2"}, true, true, []*Answer{one}, false},
+		{"isolated, no answers", []string{"v1"}, false, true, nil, false},
+		{"isolated, as are all that answer", []string{"v1"}, false, true, []*Answer{one}, false},
+		{"isolated, but one that answers is not", []string{"v1"}, false, true, []*Answer{one, {Versions: []string{"v1"}, Fresh: true}}, true},
+		{"stream not named by the client", []string{"v1"}, false, false, nil, true},
+		{"stream not named by the client, two versions", []string{"v1", "v2"}, true, false, nil, false},
+		{"no instance ever seen", nil, true, true, nil, false},
+		{"instances that report no version", []string{""}, true, true, nil, true},
 	}
 	for _, c := range cases {
 		k := NewKeeper()
@@ -50,7 +50,7 @@
 	}
 }
 
-// TestVersionsCountForAWhile guards against a version that is forgotten while streams that it began may be taken up.
+// TestVersionsCountForAWhile guards against removing a version while the streams that it began may still be resumed.
 func TestVersionsCountForAWhile(t *testing.T) {
 	k := NewKeeper()
 	k.SetSpan(30 * time.Second)
@@ -59,7 +59,7 @@
 	k.Observe(now, "svc", []string{"v2"})
 	k.SetFresh(now)
 	if _, known := k.Decide(now, "svc", true, nil); known {
-		t.Error("the version before is forgotten while its streams last")
+		t.Error("the previous version was removed while its streams may still be resumed")
 	}
 	now = now.Add(31 * time.Second)
 	k.Observe(now, "svc", []string{"v2"})
@@ -67,68 +67,68 @@
 	if software, known := k.Decide(now, "svc", true, nil); !known || software != "v2" {
 		t.Errorf("%q, known %v", software, known)
 	}
-	// Nothing has been seen for long: the last version counts on.
+	// The version seen most recently is kept however long ago it was seen.
 	if counts := k.Counts(); counts.Mixed != 0 {
 		t.Errorf("%+v", counts)
 	}
 }
 
-// TestFrozenDaemonIsNotFresh guards against a daemon that decides by what it knew before it was frozen.
+// TestFrozenDaemonIsNotFresh guards against a daemon that decides by state from before its process was frozen.
 func TestFrozenDaemonIsNotFresh(t *testing.T) {
 	k := NewKeeper()
 	k.SetSpan(time.Minute)
 	k.Observe(testStart, "svc", []string{"v1"})
 	k.SetFresh(testStart)
 	if _, known := k.Decide(testStart.Add(5*time.Second), "svc", true, nil); known {
-		t.Error("a daemon that was frozen decides")
+		t.Error("a daemon whose process was frozen decided")
 	}
 }
 
-// TestSecondVersionTellsOfStreamsBefore guards against streams that began before the second version came, and that nobody
-// else knows.
+// TestSecondVersionTellsOfStreamsBefore guards against streams that began before the second version appeared and that no
+// other daemon has recorded.
 func TestSecondVersionTellsOfStreamsBefore(t *testing.T) {
 	k := NewKeeper()
 	k.SetSpan(time.Minute)
 	k.SetDaemons([]Daemon{{"a", "z1"}, {"b", "z1"}, {"c", "z2"}})
-	if tells := k.Began(testStart, stream("s1", "v1")); tells != nil {
-		t.Errorf("told %+v while there is one version", tells)
+	if updates := k.Began(testStart, stream("s1", "v1")); updates != nil {
+		t.Errorf("updates %+v while there is one version", updates)
 	}
 	k.Take(testStart, []Stream{stream("of another daemon", "v1")})
-	told := map[string]int{}
-	for _, tell := range k.Began(testStart, stream("s2", "v2")) {
-		for _, s := range tell.Streams {
-			told[s.ID]++
+	sent := map[string]int{}
+	for _, update := range k.Began(testStart, stream("s2", "v2")) {
+		for _, s := range update.Streams {
+			sent[s.ID]++
 		}
 	}
-	if told["s1"] != keepers || told["s2"] != keepers || len(told) != 2 {
-		t.Errorf("told %v", told)
+	if sent["s1"] != holdersPerStream || sent["s2"] != holdersPerStream || len(sent) != 2 {
+		t.Errorf("streams in updates: %v", sent)
 	}
-	if tells := k.Began(testStart, stream("s3", "v1")); len(tells) != keepers || k.zones[tells[0].Daemon] == k.zones[tells[1].Daemon] {
-		t.Errorf("told %+v", tells)
+	if updates := k.Began(testStart, stream("s3", "v1")); len(updates) != holdersPerStream || k.zones[updates[0].Daemon] == k.zones[updates[1].Daemon] {
+		t.Errorf("updates %+v", updates)
 	}
 }
 
-// TestBookKeepsItsBounds guards against streams that are kept for ever or without number, and IDs that clients made up.
+// TestBookKeepsItsBounds guards against streams that never expire and against invalid IDs, which clients choose.
 func TestBookKeepsItsBounds(t *testing.T) {
 	k := NewKeeper()
-	k.Take(testStart, []Stream{stream("", "v1"), stream(string(make([]byte, longestID+1)), "v1"), {ID: "over", Service: "svc", Left: 0}})
+	k.Take(testStart, []Stream{stream("", "v1"), stream(string(make([]byte, maxIDBytes+1)), "v1"), {ID: "over", Service: "svc", Left: 0}})
 	if counts := k.Counts(); counts.Streams != 0 {
-		t.Errorf("%d streams are kept", counts.Streams)
+		t.Errorf("%d invalid streams recorded", counts.Streams)
 	}
 	k.Take(testStart, []Stream{stream("twice", "v1"), stream("twice", "v2"), stream("s", "v1")})
 	if _, known := k.Find(testStart, "twice"); known {
-		t.Error("a stream of two versions is known")
+		t.Error("a stream reported with two versions is found")
 	}
 	if began, known := k.Find(testStart, "s"); !known || began != (Began{Service: "svc", Software: "v1"}) {
 		t.Errorf("%+v, known %v", began, known)
 	}
 	k.Forget(testStart.Add(time.Minute))
 	if counts := k.Counts(); counts.Streams != 0 {
-		t.Errorf("%d streams are kept for ever", counts.Streams)
+		t.Errorf("%d streams left after they expired", counts.Streams)
 	}
 }
 
-// BenchmarkBegan measures what a stream costs that is told to others, by the number of daemons.
+// BenchmarkBegan measures the cost of a stream that is reported to other daemons, by the number of daemons.
 func BenchmarkBegan(b *testing.B) {
 	for _, count := range []int{30, 100, 300, 985} {
 		b.Run(strconv.Itoa(count), func(b *testing.B) {
--- a/resumption/versions.go
+++ b/resumption/versions.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// versions are when the software versions of a service were last seen.
+// versions maps each software version of a service to the time at which it was last seen.
 type versions map[string]time.Time
 
-// note takes in that a version is there, and reports whether it was not known.
-func (v versions) note(now time.Time, software string) bool {
+// markSeen records that a version is present, and reports whether it is new.
+func (v versions) markSeen(now time.Time, software string) bool {
 	_, known := v[software]
 	v[software] = now
 	return !known
 }
 
-// forget drops the versions that were last seen before a moment, unless nothing has been seen since.
-func (v versions) forget(before time.Time) {
+// prune removes the versions last seen before the given time, but always keeps those seen most recently.
+func (v versions) prune(before time.Time) {
 	newest := time.Time{}
 	for _, at := range v {
 		if at.After(newest) {
@@ -27,5 +27,5 @@
 	maps.DeleteFunc(v, func(_ string, at time.Time) bool { return at.Before(before) && at.Before(newest) })
 }
 
-// list returns the versions in order.
+// list returns the versions in ascending order.
 func (v versions) list() []string { return slices.Sorted(maps.Keys(v)) }
