--- a/history/errors.go
+++ b/history/errors.go
@@ -5,5 +5,5 @@
 // Error is the class of errors of this package.
 var Error = errs.Class("history")
 
-// errParts is the error of a place that is not an array of two numbers.
-var errParts = Error.New("a place is not of two parts")
+// errArrayLength reports an encoded place that is not an array of two elements.
+var errArrayLength = Error.New("encoded place is not an array of two elements")
