--- a/resumption/tracker.go
+++ b/resumption/tracker.go
@@ -64,10 +64,10 @@
 }
 
 // SetSpan sets how long after a version was last seen its streams may still be resumed.
-func (k *Keeper) SetSpan(window time.Duration) {
+func (k *Keeper) SetSpan(versionWindow time.Duration) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.versionWindow = window
+	k.versionWindow = versionWindow
 }
 
 // Observe records the versions of a service that are present now. When the service first has several versions, it returns
--- a/tenant/tenant.go
+++ b/tenant/tenant.go
@@ -1,6 +1,6 @@
-// Package tenant tells which tenant of the deployment a request belongs to, by the API key
-// that it carries. Keys are kept as digests only: neither a snapshot of this daemon's memory
-// nor a message to another daemon shows a key that would be accepted.
+// Package tenant determines which tenant of the deployment a request belongs to, by the API
+// key that it carries. Keys are stored as digests only, so neither a snapshot of this daemon's
+// memory nor a message to another daemon discloses a valid key.
 package tenant
 
 import (
@@ -12,48 +12,48 @@
 // Tenant is one customer of the deployment.
 type Tenant struct {
 	Name string `msgpack:"n"`
-	// Keys are the digests of the keys that belong to the tenant.
+	// Keys are the digests of the tenant's API keys.
 	Keys []Digest `msgpack:"k,omitempty"`
-	// Ranked says that Priority takes precedence over that of a request's route.
+	// Ranked reports whether Priority takes precedence over the priority of a request's route.
 	Ranked bool `msgpack:"r,omitempty"`
-	// Priority is the rank of the tenant's requests; zero is the highest.
+	// Priority is the priority of the tenant's requests; zero is the highest.
 	Priority int `msgpack:"p,omitempty"`
-	// Limit bounds what the tenant may use over all daemons.
+	// Limit bounds the tenant's use across all daemons.
 	Limit Limit `msgpack:"l"`
 }
 
 // Limit bounds the use of one tenant.
 type Limit struct {
-	// PerSecond is the rate, in units; zero means that there is no limit.
+	// PerSecond is the rate in units per second; zero means no limit.
 	PerSecond float64 `msgpack:"s,omitempty"`
-	// Burst is how many units more may be used at once after a rest.
+	// Burst is how many additional units may be used at once after an idle period.
 	Burst float64 `msgpack:"b,omitempty"`
-	// Tokens says that a unit is one token; otherwise it is one request.
+	// Tokens sets the unit to one token; otherwise it is one request.
 	Tokens bool `msgpack:"t,omitempty"`
-	// PlainTokens is what a request counts that does not say its number of tokens.
+	// PlainTokens is the cost of a request that does not state its number of tokens.
 	PlainTokens float64 `msgpack:"p,omitempty"`
 }
 
-// Limited reports whether there is a limit at all.
+// Limited reports whether a limit is set.
 func (l *Limit) Limited() bool { return l.PerSecond > 0 }
 
-// Rate is what the tenant may use in its units.
+// Rate returns the limit as a quota, in the tenant's units.
 func (l *Limit) Rate() quota.Limit { return quota.Limit{PerSecond: l.PerSecond, Burst: l.Burst} }
 
-// Cost is what one request counts, in units. Tokens are those of the prompt and the most that
-// the answer may have; told says that the request named them.
-func (l *Limit) Cost(promptTokens, outputTokens int, told bool) float64 {
+// Cost returns the cost of one request, in units. The token counts are the size of the prompt
+// and the maximum size of the output; tokensKnown is set if the request stated them.
+func (l *Limit) Cost(promptTokens, outputTokens int, tokensKnown bool) float64 {
 	switch {
 	case !l.Tokens:
 		return 1
-	case told:
+	case tokensKnown:
 		return float64(promptTokens) + float64(outputTokens)
 	default:
 		return l.PlainTokens
 	}
 }
 
-// Digest stands for a key. The zero value stands for none.
+// Digest is the SHA-256 digest of a key. The zero value means no key.
 type Digest [sha256.Size]byte
 
 // DigestOf returns the digest of a key; that of the empty key is the zero value.
@@ -64,18 +64,18 @@
 	return sha256.Sum256([]byte(key))
 }
 
-// Table finds the tenant of a key. It is immutable; the zero value and nil know no tenant.
+// Table maps keys and names to tenants. It is immutable; the zero value and nil are empty.
 type Table struct {
 	byKey   map[Digest]*Tenant
 	byName  map[string]*Tenant
 	limited []string
-	// shared are the names of tenants that list a key of an earlier one.
+	// shared holds the names of tenants that list a key of an earlier tenant.
 	shared []string
 }
 
-// NewTable returns the table of a list of tenants, which must not change afterwards. A key that
-// several of them list belongs to the first, so that a mistake in one tenant's entry takes
-// nothing from another.
+// NewTable returns a table of the given tenants, which must not change afterwards. A key that
+// several tenants list belongs to the first, so that a mistake in a later tenant's entry does
+// not take a key from an earlier tenant.
 func NewTable(tenants []Tenant) *Table {
 	table := &Table{byKey: map[Digest]*Tenant{}, byName: map[string]*Tenant{}}
 	for i := range tenants {
@@ -105,7 +105,7 @@
 	}
 }
 
-// Of returns the tenant that holds a key, or nil.
+// Of returns the tenant that owns a key, or nil.
 func (t *Table) Of(key Digest) *Tenant {
 	if t == nil {
 		return nil
@@ -113,7 +113,7 @@
 	return t.byKey[key]
 }
 
-// Named returns the tenant with a name, or nil.
+// Named returns the tenant with the given name, or nil.
 func (t *Table) Named(name string) *Tenant {
 	if t == nil {
 		return nil
@@ -121,10 +121,10 @@
 	return t.byName[name]
 }
 
-// Any reports whether there is a tenant at all.
+// Any reports whether the table has any tenants.
 func (t *Table) Any() bool { return t != nil && len(t.byName) > 0 }
 
-// Rate returns the limit of the tenant with a name, if there is such a tenant.
+// Rate returns the limit of the tenant with the given name, if there is one.
 func (t *Table) Rate(name string) (limit quota.Limit, known bool) {
 	found := t.Named(name)
 	if found == nil {
@@ -133,7 +133,7 @@
 	return found.Limit.Rate(), true
 }
 
-// Limited returns the names of the tenants that have a limit, in the order of the list.
+// Limited returns the names of the tenants that have a limit, in the order given to NewTable.
 func (t *Table) Limited() []string {
 	if t == nil {
 		return nil
@@ -141,7 +141,7 @@
 	return t.limited
 }
 
-// Shared returns the names of tenants that list a key of an earlier one.
+// Shared returns the names of tenants that list a key of an earlier tenant.
 func (t *Table) Shared() []string {
 	if t == nil {
 		return nil
--- a/tenant/tenant_test.go
+++ b/tenant/tenant_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-func holding(name string, keys ...string) Tenant {
-	made := Tenant{Name: name}
+func tenantWithKeys(name string, keys ...string) Tenant {
+	tenant := Tenant{Name: name}
 	for _, key := range keys {
-		made.Keys = append(made.Keys, DigestOf(key))
+		tenant.Keys = append(tenant.Keys, DigestOf(key))
 	}
-	return made
+	return tenant
 }
 
 func nameOf(found *Tenant) string {
@@ -24,13 +24,13 @@
 func TestTableFindsTheHolderOfAKey(t *testing.T) {
 	long := strings.Repeat("k", 5000)
 	table := NewTable([]Tenant{
-		holding("a", "one", "two", "two"), holding("b", "three", "one", "\x00\xff é"), holding("c", long, ""), holding("d"),
+		tenantWithKeys("a", "one", "two", "two"), tenantWithKeys("b", "three", "one", "\x00\xff é"), tenantWithKeys("c", long, ""), tenantWithKeys("d"),
 	})
 	cases := []struct{ name, key, want string }{
-		{"a key", "one", "a"}, {"a key that is listed twice", "two", "a"}, {"a key of two tenants is the first one's", "one", "a"},
-		{"odd bytes", "\x00\xff é", "b"}, {"a long key", long, "c"}, {"a long key that lacks its end", long[1:], ""},
-		{"the beginning of a key", "on", ""}, {"more than a key", "one ", ""}, {"another case", "ONE", ""},
-		{"no key, which one tenant lists", "", ""}, {"a key that nobody holds", "four", ""},
+		{"a key", "one", "a"}, {"a key that is listed twice", "two", "a"}, {"a key of two tenants belongs to the first", "one", "a"},
+		{"odd bytes", "\x00\xff é", "b"}, {"a long key", long, "c"}, {"a long key without its first byte", long[1:], ""},
+		{"a prefix of a key", "on", ""}, {"a key with a trailing space", "one ", ""}, {"a key in upper case", "ONE", ""},
+		{"the empty key, which one tenant lists", "", ""}, {"a key of no tenant", "four", ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -40,10 +40,10 @@
 		})
 	}
 	if shared := table.Shared(); len(shared) != 1 || shared[0] != "b" {
-		t.Errorf("tenants with a key of another one: %v", shared)
+		t.Errorf("tenants with a key of an earlier tenant: %v, want [b]", shared)
 	}
 	if found := (*Table)(nil).Of(DigestOf("one")); found != nil {
-		t.Errorf("a table that is not there knows %v", found)
+		t.Errorf("a nil table returns %v", found)
 	}
 }
 
@@ -51,16 +51,16 @@
 	cases := []struct {
 		name  string
 		limit Limit
-		told  bool
+		tokensKnown  bool
 		want  float64
 	}{
 		{"requests", Limit{PerSecond: 1}, true, 1},
 		{"tokens", Limit{PerSecond: 1, Tokens: true, PlainTokens: 200}, true, 1540},
-		{"tokens of a request that names none", Limit{PerSecond: 1, Tokens: true, PlainTokens: 200}, false, 200},
+		{"tokens of a request that states none", Limit{PerSecond: 1, Tokens: true, PlainTokens: 200}, false, 200},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if got := c.limit.Cost(1460, 80, c.told); got != c.want {
+			if got := c.limit.Cost(1460, 80, c.tokensKnown); got != c.want {
 				t.Errorf("cost %v, want %v", got, c.want)
 			}
 		})
@@ -73,13 +73,13 @@
 		tenants[i].Name = fmt.Sprint("tenant-", i)
 	}
 	for number := range keys {
-		holder := &tenants[number%len(tenants)]
-		holder.Keys = append(holder.Keys, DigestOf(fmt.Sprintf("key-%016x", number)))
+		owner := &tenants[number%len(tenants)]
+		owner.Keys = append(owner.Keys, DigestOf(fmt.Sprintf("key-%016x", number)))
 	}
 	return tenants
 }
 
-// TestLookUpAllocatesNothing covers the path of each request, with 100,000 keys.
+// TestLookUpAllocatesNothing guards against allocations in the key look-up, which runs for each request, with 100,000 keys.
 func TestLookUpAllocatesNothing(t *testing.T) {
 	table := NewTable(manyTenants(100_000))
 	key := fmt.Sprintf("key-%016x", 4711)
@@ -90,11 +90,11 @@
 		}
 	})
 	if allocations != 0 || found == 0 {
-		t.Errorf("%v allocations a look-up, found %d times", allocations, found)
+		t.Errorf("%v allocations per look-up, found %d times", allocations, found)
 	}
 }
 
-// BenchmarkLookUp shows that the time does not grow with the number of keys.
+// BenchmarkLookUp shows that the time of a look-up does not grow with the number of keys.
 func BenchmarkLookUp(b *testing.B) {
 	for _, keys := range []int{100, 10_000, 100_000} {
 		b.Run(fmt.Sprint("keys=", keys), func(b *testing.B) {
@@ -103,7 +103,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if table.Of(DigestOf(key)) == nil {
-					b.Fatal("not found")
+					b.Fatal("no tenant found for the key")
 				}
 			}
 		})
