--- a/replica/example_test.go
+++ b/replica/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/wheatweir/wheatweir/replica"
 )
 
-// A delta from a stale source changes nothing.
+// A delta from a stale source does not replace newer objects.
 func ExampleStore_Apply() {
 	key := api.Key{Kind: api.KindModel, Name: "glossary"}
 	store := replica.NewStore()
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -1,13 +1,13 @@
-// Package replica keeps a copy of the platform's objects that only moves
-// forward, and exchanges what changed with other copies.
+// Package replica holds an in-memory copy of the platform's objects whose
+// versions never decrease, and exchanges changes with other copies.
 //
 // A Store is complete through a version: it holds every object whose newest
-// version is at or before it. An object that was written again later may be
-// missing until the later version arrives. A Delta carries the step from one
-// such version to a later one. Applying a delta never replaces an object by an
-// older version, whatever its source, so a stale watch, list or peer cannot
-// bring an old value back. Deletions are tombstones with a version and spread
-// like any other change.
+// version is at or before that version. An object that was written again later
+// may be missing until the later version arrives. A Delta carries the changes
+// from one such version to a later one. Applying a delta never replaces an
+// object by an older version, whatever its source, so a stale watch, list or
+// peer cannot restore an old value. Deletions are tombstones with a version and
+// propagate like any other change.
 //
 // The package does no I/O.
 package replica
@@ -23,17 +23,18 @@
 type Delta struct {
 	// From is the version that the receiver must be complete through.
 	From uint64 `msgpack:"f"`
-	// Through is the version that the receiver is complete through after.
+	// Through is the version that the receiver is complete through once it
+	// has applied the delta.
 	Through uint64       `msgpack:"t"`
 	Objects []api.Object `msgpack:"o,omitempty"`
 }
 
-// Store is one copy. It is not safe for concurrent use.
+// Store is one copy of the objects. It is not safe for concurrent use.
 type Store struct {
 	objects map[api.Key]api.Object
 	byKind  map[api.Kind]map[string]api.Key
-	// log lists (version, key) by rising version; entries whose version is
-	// no longer that of the object are skipped and removed in compaction.
+	// log lists (version, key) pairs by ascending version. Entries whose
+	// object has a newer version are skipped and are removed by compaction.
 	log     []logEntry
 	through uint64
 }
@@ -43,7 +44,7 @@
 	key     api.Key
 }
 
-// compactionFactor bounds the log to this many entries for each object.
+// compactionFactor bounds the log to about this many entries per object.
 const compactionFactor = 2
 
 // NewStore returns an empty store.
@@ -80,9 +81,9 @@
 	return names
 }
 
-// Learn takes in one object from any source, such as the answer to an own
-// write. It does not change what the store is complete through. It returns
-// whether the object was newer than the known one.
+// Learn merges one object from any source, such as the response to a write by
+// this daemon. It does not change the version that the store is complete
+// through. It returns whether the object was newer than the stored one.
 func (s *Store) Learn(object api.Object) bool {
 	if object.Version <= s.objects[object.Key].Version {
 		return false
@@ -123,9 +124,9 @@
 	return s.objects[entry.key].Version != entry.version
 }
 
-// Apply takes in a delta and returns the keys of the objects that changed. The
-// objects are always learned; the store moves its complete-through version
-// only if the delta starts at or before it, since otherwise changes between
+// Apply merges a delta and returns the keys of the objects that changed. It
+// always merges the objects. It advances the complete-through version only if
+// the delta starts at or before that version, since otherwise changes between
 // the two may be missing.
 func (s *Store) Apply(delta Delta) []api.Key {
 	var changed []api.Key
@@ -144,10 +145,11 @@
 // without its value.
 const objectOverheadBytes = 80
 
-// Since returns the changes after a version, up to about maxBytes. A delta
-// that had to stop early is complete through its last object, so the receiver
-// asks again from there. Objects learned ahead of the complete-through version
-// are included, because they may supersede older versions that are not kept.
+// Since returns the changes after a version, up to about maxBytes. A delta that
+// reaches this limit is complete only through its last object, and the receiver
+// requests the rest from there. Objects merged ahead of the complete-through
+// version are included, because they may supersede older versions that are not
+// kept.
 func (s *Store) Since(from uint64, maxBytes int) Delta {
 	delta := Delta{From: from, Through: max(from, s.through)}
 	start := sort.Search(len(s.log), func(i int) bool { return s.log[i].version > from })
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -11,7 +11,7 @@
 	"github.com/wheatweir/wheatweir/replica"
 )
 
-// history is the oracle: all objects ever written, by version.
+// history is the test oracle: all objects ever written, by version.
 type history struct{ writes []api.Object }
 
 func (h *history) write(key api.Key, deleted bool) {
@@ -28,7 +28,7 @@
 	return newest
 }
 
-// changes returns what the object API answers to a watch, possibly stale.
+// changes returns the object API's response to a watch, which may be stale.
 func (h *history) changes(since, through uint64) replica.Delta {
 	newest := h.at(through)
 	delta := replica.Delta{From: since, Through: through}
@@ -40,8 +40,10 @@
 	return delta
 }
 
-// TestStoresOnlyMoveForward spreads writes among stores through stale watches,
-// partial deltas, lost and doubled messages, and own writes learned early.
+// TestStoresOnlyMoveForward guards against objects that revert to an older
+// version and against stores that miss an object they should have. Writes reach
+// the stores through stale watches, partial deltas, lost and duplicated
+// messages, and own writes that are merged early.
 func TestStoresOnlyMoveForward(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var written history
@@ -51,7 +53,7 @@
 			seen[i] = map[api.Key]uint64{}
 		}
 		keys := []api.Key{{Kind: api.KindModel, Name: "a"}, {Kind: api.KindModel, Name: "b"}, {Kind: api.KindPlacement, Name: "a"}}
-		var old []replica.Delta
+		var earlier []replica.Delta
 		steps := rapid.IntRange(1, 80).Draw(t, "steps")
 		for range steps {
 			target := rapid.IntRange(0, len(stores)-1).Draw(t, "store")
@@ -67,11 +69,11 @@
 			case 2:
 				other := stores[rapid.IntRange(0, len(stores)-1).Draw(t, "peer")]
 				delta := other.Since(store.Through(), rapid.IntRange(1, 400).Draw(t, "bytes"))
-				old = append(old, delta)
+				earlier = append(earlier, delta)
 				store.Apply(delta)
 			case 3:
-				if len(old) > 0 {
-					store.Apply(rapid.SampledFrom(old).Draw(t, "late delta"))
+				if len(earlier) > 0 {
+					store.Apply(rapid.SampledFrom(earlier).Draw(t, "late delta"))
 				}
 			case 4:
 				if len(written.writes) > 0 {
@@ -80,29 +82,29 @@
 			}
 			checkStore(t, &written, store, seen[target])
 		}
-		settle(t, &written, stores)
+		checkConvergence(t, &written, stores)
 	})
 }
 
-// checkStore checks that no version went back, and that the store has every
-// object up to the version that it says it is complete through, unless the
+// checkStore checks that no version decreased, and that the store has every
+// object up to the version that it reports as complete, unless the
 // object was written again after that version.
 func checkStore(t *rapid.T, written *history, store *replica.Store, seen map[api.Key]uint64) {
 	complete := written.at(store.Through())
 	for key, newest := range written.at(uint64(len(written.writes))) {
 		version := store.Version(key)
 		if version < seen[key] {
-			t.Fatalf("%s went back from %d to %d", key, seen[key], version)
+			t.Fatalf("version of %s decreased from %d to %d", key, seen[key], version)
 		}
 		if version < complete[key] && newest <= store.Through() {
-			t.Fatalf("%s is at %d although the store is complete through %d", key, version, store.Through())
+			t.Fatalf("%s is at version %d although the store is complete through %d", key, version, store.Through())
 		}
 		seen[key] = version
 	}
 }
 
-// settle checks that stores that exchange all changes become equal.
-func settle(t *rapid.T, written *history, stores []*replica.Store) {
+// checkConvergence checks that stores that exchange all changes become equal.
+func checkConvergence(t *rapid.T, written *history, stores []*replica.Store) {
 	end := uint64(len(written.writes))
 	stores[0].Apply(written.changes(stores[0].Through(), end))
 	for i := 1; i < len(stores); i++ {
@@ -114,7 +116,7 @@
 		}
 		for key, version := range written.at(end) {
 			if got := stores[i].Version(key); got != version {
-				t.Fatalf("store %d has %s at %d, not %d", i, key, got, version)
+				t.Fatalf("store %d has %s at version %d, want %d", i, key, got, version)
 			}
 		}
 	}
--- a/tenant/tenant_test.go
+++ b/tenant/tenant_test.go
@@ -49,10 +49,10 @@
 
 func TestCost(t *testing.T) {
 	cases := []struct {
-		name  string
-		limit Limit
-		tokensKnown  bool
-		want  float64
+		name        string
+		limit       Limit
+		tokensKnown bool
+		want        float64
 	}{
 		{"requests", Limit{PerSecond: 1}, true, 1},
 		{"tokens", Limit{PerSecond: 1, Tokens: true, PlainTokens: 200}, true, 1540},
