--- a/rendezvous/example_test.go
+++ b/rendezvous/example_test.go
@@ -6,7 +6,7 @@
 	"github.com/wheatweir/wheatweir/rendezvous"
 )
 
-// A change of the set moves only the keys of the member that left.
+// Removing a member moves only the keys that it owned.
 func ExampleSet_Owner() {
 	before := rendezvous.NewSet([]string{"daemon-1", "daemon-2", "daemon-3"})
 	after := rendezvous.NewSet([]string{"daemon-1", "daemon-3"})
--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous picks members of a set for a key by highest random
-// weight, so that each participant with the same set picks the same members
-// and a change of the set moves few keys.
+// Package rendezvous selects members of a set for a key by highest random
+// weight. All participants with the same set select the same members, and a
+// change of the set moves few keys.
 //
 // Source: Thaler and Ravishankar, "A Name-Based Mapping Scheme for
 // Rendezvous", 1996.
@@ -29,13 +29,14 @@
 	return mixed ^ mixed>>32
 }
 
-// Set is a fixed set of members with their hashes worked out once.
+// Set is an immutable set of members with precomputed hashes.
 type Set struct {
 	members []string
 	hashes  []uint64
 }
 
-// NewSet returns a set of the given members.
+// NewSet returns a set of the given members. The caller must not change the
+// slice afterwards.
 func NewSet(members []string) Set {
 	set := Set{members: members, hashes: make([]uint64, len(members))}
 	for i, member := range members {
@@ -61,7 +62,7 @@
 	return owner
 }
 
-// Top returns up to count members by falling weight.
+// Top returns up to count members in descending order of weight.
 func (s Set) Top(key string, count int) []string {
 	type weighted struct {
 		member string
