--- a/ring/ring.go
+++ b/ring/ring.go
@@ -1,7 +1,8 @@
-// Package ring provides the bounded queue that joins two duties of a daemon.
+// Package ring provides a bounded queue that connects two duties of a daemon,
+// that is, two of its concurrent tasks.
 //
-// A full ring never blocks the duty that fills it: the item is turned away and
-// counted, and each sender is written so that a lost item is sent again.
+// Offering an item to a full ring does not block the sending duty: the item is
+// rejected and counted. Every sender must send a rejected item again.
 package ring
 
 import (
@@ -9,7 +10,7 @@
 	"sync/atomic"
 )
 
-// Ring is a bounded queue that is safe for many senders and receivers.
+// Ring is a bounded queue that is safe for concurrent senders and receivers.
 type Ring[T any] struct {
 	items   chan T
 	dropped atomic.Uint64
@@ -31,7 +32,8 @@
 	}
 }
 
-// Put adds an item and waits for room. It returns false when ctx ends first.
+// Put adds an item, and waits while the ring is full. It returns false when ctx
+// ends first.
 func (r *Ring[T]) Put(ctx context.Context, item T) bool {
 	select {
 	case r.items <- item:
@@ -41,7 +43,8 @@
 	}
 }
 
-// Take removes the oldest item. It returns false when ctx ends first.
+// Take removes the oldest item, and waits while the ring is empty. It returns
+// false when ctx ends first.
 func (r *Ring[T]) Take(ctx context.Context) (T, bool) {
 	select {
 	case item := <-r.items:
@@ -55,7 +58,7 @@
 // Items exposes the receiving side for use in a select statement.
 func (r *Ring[T]) Items() <-chan T { return r.items }
 
-// Dropped returns how many items were turned away.
+// Dropped returns the number of items that Offer rejected.
 func (r *Ring[T]) Dropped() uint64 { return r.dropped.Load() }
 
 // Len returns the number of items waiting.
