--- a/nearest/nearest.go
+++ b/nearest/nearest.go
@@ -1,8 +1,8 @@
-// Package nearest finds the valid word closest to a mistyped one.
+// Package nearest finds the valid word that is closest to a mistyped word.
 package nearest
 
-// Word returns the candidate with the least edit distance to a word, or "" if
-// there are no candidates or none is close.
+// Word returns the candidate with the smallest edit distance to a word, or ""
+// if no candidate is within half of the word's length plus one byte.
 func Word(word string, candidates []string) string {
 	best, bestDistance := "", len(word)/2+2
 	for _, candidate := range candidates {
@@ -13,7 +13,7 @@
 	return best
 }
 
-// distanceBetween is the Levenshtein distance in bytes.
+// distanceBetween returns the Levenshtein distance in bytes.
 func distanceBetween(a, b string) int {
 	previous := make([]int, len(b)+1)
 	current := make([]int, len(b)+1)
