--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -1,6 +1,6 @@
 // Package outcome defines the final result of one request and of one attempt
-// at a back end. The difference between "did not run" and "may have run" is
-// what decides whether a request may be sent again.
+// at a back end. Whether a request may be retried depends on the difference
+// between "did not run" and "may have run".
 package outcome
 
 import (
@@ -13,14 +13,14 @@
 type Kind int
 
 const (
-	// Answered means the whole answer was delivered.
+	// Answered means the complete answer was delivered.
 	Answered Kind = iota
 	// NotRun means no back end began the request: no byte was sent to one,
-	// or the back end itself said so.
+	// or the back end itself reported that it did not run.
 	NotRun
 	// Failed means a back end began the request and it did not complete.
 	Failed
-	// Unknown means the request was sent and nothing shows whether it ran.
+	// Unknown means the request was sent and it is not known whether it ran.
 	Unknown
 )
 
@@ -29,7 +29,7 @@
 // String returns the name used in logs, metrics and error bodies.
 func (k Kind) String() string { return kindNames[k] }
 
-// Reason says why a request was not answered.
+// Reason is the cause for which a request was not answered.
 type Reason string
 
 // Reasons, as they appear in error bodies and log lines.
@@ -47,10 +47,10 @@
 	ReasonRefused        Reason = "back_end_refused"
 	ReasonBroken         Reason = "back_end_broken"
 	ReasonCallerGone     Reason = "caller_gone"
-	// ReasonUnknownTenant says that the call has no key, or one that no tenant holds.
+	// ReasonUnknownTenant means the request has no API key, or a key of no tenant.
 	ReasonUnknownTenant Reason = "unknown_key"
-	// ReasonQuota says that the tenant has used its limit up, ReasonQuotaUnsure that nobody
-	// could tell.
+	// ReasonQuota means the tenant has exhausted its limit, ReasonQuotaUnsure that this could
+	// not be determined.
 	ReasonQuota       Reason = "quota"
 	ReasonQuotaUnsure Reason = "quota_unsure"
 )
@@ -59,25 +59,25 @@
 type Result struct {
 	Kind   Kind
 	Reason Reason
-	// RetryAfter tells the caller when to come back; zero means unstated.
+	// RetryAfter is how long the caller should wait before it retries; zero means unspecified.
 	RetryAfter time.Duration
 	// Status is the HTTP status of the back end's answer, if there was one.
 	Status int
-	// Err carries the detail for the log.
+	// Err holds the details for the log.
 	Err error
 }
 
 // ErrRequest is the class of all request failures.
 var ErrRequest = errs.Class("request")
 
-// Refuse returns a "not run" result.
+// Refuse returns a result of kind NotRun.
 func Refuse(reason Reason, retryAfter time.Duration) Result {
 	return Result{Kind: NotRun, Reason: reason, RetryAfter: retryAfter}
 }
 
-// MayRepeat reports whether another attempt cannot break a promise: the
-// attempt is known not to have run, or the request allows repeating and no
-// part of an answer has reached the caller.
+// MayRepeat reports whether another attempt is safe: either this attempt is
+// known not to have run, or the request is repeatable and no part of an answer
+// has been relayed to the caller.
 func (r Result) MayRepeat(repeatable, relayed bool) bool {
 	switch r.Kind {
 	case NotRun:
