--- a/resumption/simulation_test.go
+++ b/resumption/simulation_test.go
@@ -83,13 +83,13 @@
 	return s
 }
 
-func (s *simulation) after(span time.Duration, run func()) {
+func (s *simulation) after(duration time.Duration, run func()) {
 	s.sequence++
-	heap.Push(&s.queue, event{s.now.Add(span), s.sequence, run})
+	heap.Push(&s.queue, event{s.now.Add(duration), s.sequence, run})
 }
 
-func (s *simulation) run(span time.Duration) {
-	for end := s.now.Add(span); len(s.queue) > 0 && s.queue[0].at.Before(end); {
+func (s *simulation) run(duration time.Duration) {
+	for end := s.now.Add(duration); len(s.queue) > 0 && s.queue[0].at.Before(end); {
 		next := heap.Pop(&s.queue).(event)
 		s.now = next.at
 		next.run()
@@ -131,12 +131,12 @@
 }
 
 // send delivers a message, unless the receiver is down or either side is isolated at delivery time.
-func (s *simulation) send(from *simulatedDaemon, to string, take func(*simulatedDaemon)) {
+func (s *simulation) send(from *simulatedDaemon, to string, deliver func(*simulatedDaemon)) {
 	s.messages++
 	s.after(messageDelay, func() {
 		for _, d := range s.daemons {
 			if d.name == to && d.up && !d.isolated && !from.isolated {
-				take(d)
+				deliver(d)
 			}
 		}
 	})
@@ -157,24 +157,24 @@
 	s.streams++
 	id, software, incarnation := fmt.Sprint("s", s.streams), d.present[s.random.IntN(len(d.present))], d.incarnation
 	s.sendUpdates(d, d.tracker.Began(s.now, Stream{ID: id, Service: "svc", Software: software, Left: versionWindow / 2}))
-	span := time.Duration(200+s.random.IntN(3000)) * time.Millisecond
-	breaks := s.random.IntN(10) == 0
-	s.after(span, func() {
-		if breaks || d.incarnation != incarnation || !d.up {
+	duration := time.Duration(200+s.random.IntN(3000)) * time.Millisecond
+	interrupted := s.random.IntN(10) == 0
+	s.after(duration, func() {
+		if interrupted || d.incarnation != incarnation || !d.up {
 			s.after(time.Duration(10+s.random.IntN(200))*time.Millisecond, func() { s.resume(id, software) })
 		}
 	})
 }
 
 // resume makes a client resume a stream at a random running daemon.
-func (s *simulation) resume(id, began string) {
+func (s *simulation) resume(id, wantSoftware string) {
 	d := s.daemons[s.random.IntN(len(s.daemons))]
 	if !d.up {
-		s.after(10*time.Millisecond, func() { s.resume(id, began) })
+		s.after(10*time.Millisecond, func() { s.resume(id, wantSoftware) })
 		return
 	}
 	if found, known := d.tracker.Find(s.now, id); known {
-		s.continueStream(d, id, began, found.Software)
+		s.continueStream(d, id, wantSoftware, found.Software)
 		return
 	}
 	var answers []*Answer
@@ -192,31 +192,31 @@
 		}
 		for _, answer := range answers {
 			if answer.Known {
-				s.continueStream(d, id, began, answer.Began.Software)
+				s.continueStream(d, id, wantSoftware, answer.Began.Software)
 				return
 			}
 		}
 		if software, known := d.tracker.Decide(s.now, "svc", true, answers); known {
-			s.continueStream(d, id, began, software)
+			s.continueStream(d, id, wantSoftware, software)
 			return
 		}
-		s.countAttempt(d, began, false)
+		s.countAttempt(d, wantSoftware, false)
 	})
 }
 
-func (s *simulation) continueStream(d *simulatedDaemon, id, began, software string) {
-	if software != began {
+func (s *simulation) continueStream(d *simulatedDaemon, id, wantSoftware, software string) {
+	if software != wantSoftware {
 		s.mixedVersions++
 	}
 	s.sendUpdates(d, d.tracker.Began(s.now, Stream{ID: id, Service: "svc", Software: software, Left: versionWindow / 2}))
-	s.countAttempt(d, began, true)
+	s.countAttempt(d, wantSoftware, true)
 }
 
 // countAttempt counts an attempt to resume a stream, if the daemon is in contact and the stream's version still serves.
-func (s *simulation) countAttempt(d *simulatedDaemon, began string, resumed bool) {
+func (s *simulation) countAttempt(d *simulatedDaemon, wantSoftware string, resumed bool) {
 	serves := false
 	for _, version := range s.versions {
-		serves = serves || version == began
+		serves = serves || version == wantSoftware
 	}
 	if !serves || d.isolated || s.now.Sub(d.lastFault) < contactWindow {
 		return
@@ -229,14 +229,14 @@
 
 // injectFaults kills daemons, which restart, or isolates them from all others for a while. Clients still reach isolated
 // daemons.
-func (s *simulation) injectFaults(count int, isolated bool, span time.Duration) {
+func (s *simulation) injectFaults(count int, isolated bool, duration time.Duration) {
 	for _, index := range s.random.Perm(len(s.daemons))[:count] {
 		d := s.daemons[index]
 		switch {
 		case !d.up:
 		case isolated:
 			d.isolated, d.lastFault = true, s.now
-			s.after(span, func() { d.isolated, d.lastFault = false, s.now })
+			s.after(duration, func() { d.isolated, d.lastFault = false, s.now })
 		default:
 			d.up, d.stoppedAt = false, s.now
 			s.after(restartDelay, func() {
@@ -248,7 +248,7 @@
 }
 
 // runScenario begins streams at a fixed interval and injects faults and software changes meanwhile.
-func (s *simulation) runScenario(span, interval time.Duration) {
+func (s *simulation) runScenario(duration, interval time.Duration) {
 	var next func()
 	next = func() {
 		s.beginStream()
@@ -267,7 +267,7 @@
 	s.after(21*time.Second, func() { s.injectFaults(half, true, 3*time.Second) })
 	s.after(26*time.Second, func() { s.versions = []string{"v3"} })
 	s.after(27*time.Second, func() { s.injectFaults(half, false, 0) })
-	s.run(span)
+	s.run(duration)
 }
 
 // TestStreamsKeepToTheirVersionAtSize guards against streams that mix two software versions while instances are replaced and
--- a/resumption/tracker.go
+++ b/resumption/tracker.go
@@ -43,48 +43,48 @@
 }
 
 // SetDaemons replaces the set of other live daemons.
-func (k *Keeper) SetDaemons(others []Daemon) {
+func (t *Keeper) SetDaemons(others []Daemon) {
 	names, zones := make([]string, 0, len(others)), make(map[string]string, len(others))
 	for _, other := range others {
 		names = append(names, other.Name)
 		zones[other.Name] = other.Zone
 	}
 	set := rendezvous.NewSet(names)
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.others, k.zones = set, zones
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.others, t.zones = set, zones
 }
 
 // SetFresh records that this daemon currently receives updates about new instances. It must be called repeatedly, so that
 // a daemon whose process was frozen does not count as up to date.
-func (k *Keeper) SetFresh(now time.Time) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.freshUntil = now.Add(freshWindow)
+func (t *Keeper) SetFresh(now time.Time) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.freshUntil = now.Add(freshWindow)
 }
 
 // SetSpan sets how long after a version was last seen its streams may still be resumed.
-func (k *Keeper) SetSpan(versionWindow time.Duration) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.versionWindow = versionWindow
+func (t *Keeper) SetSpan(versionWindow time.Duration) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.versionWindow = versionWindow
 }
 
 // Observe records the versions of a service that are present now. When the service first has several versions, it returns
 // the updates to send to other daemons.
-func (k *Keeper) Observe(now time.Time, service string, present []string) []Tell {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.observe(now, service, present)
+func (t *Keeper) Observe(now time.Time, service string, present []string) []Tell {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.observe(now, service, present)
 }
 
-func (k *Keeper) observe(now time.Time, service string, present []string) []Tell {
-	seen := k.services[service]
+func (t *Keeper) observe(now time.Time, service string, present []string) []Tell {
+	seen := t.services[service]
 	if seen == nil {
 		seen = versions{}
-		k.services[service] = seen
+		t.services[service] = seen
 	}
-	seen.prune(now.Add(-k.versionWindow))
+	seen.prune(now.Add(-t.versionWindow))
 	before := len(seen)
 	for _, software := range present {
 		seen.markSeen(now, software)
@@ -92,26 +92,26 @@
 	if before > 1 || len(seen) < 2 {
 		return nil
 	}
-	return k.groupByDaemon(k.streams.ownStreams(now, service))
+	return t.groupByDaemon(t.streams.ownStreams(now, service))
 }
 
 // Began records a stream that this daemon begins or resumes. It returns the updates to send to other daemons.
-func (k *Keeper) Began(now time.Time, stream Stream) []Tell {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.streams.merge(now, &stream, true)
-	updates := k.observe(now, stream.Service, []string{stream.Software})
-	if updates == nil && len(k.services[stream.Service]) > 1 {
-		updates = k.groupByDaemon([]Stream{stream})
+func (t *Keeper) Began(now time.Time, stream Stream) []Tell {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.streams.merge(now, &stream, true)
+	updates := t.observe(now, stream.Service, []string{stream.Software})
+	if updates == nil && len(t.services[stream.Service]) > 1 {
+		updates = t.groupByDaemon([]Stream{stream})
 	}
 	return updates
 }
 
 // groupByDaemon groups streams by the daemons that are to record them.
-func (k *Keeper) groupByDaemon(streams []Stream) []Tell {
+func (t *Keeper) groupByDaemon(streams []Stream) []Tell {
 	byDaemon := map[string][]Stream{}
 	for _, stream := range streams {
-		for _, name := range k.holdersOf(stream.ID) {
+		for _, name := range t.holdersOf(stream.ID) {
 			byDaemon[name] = append(byDaemon[name], stream)
 		}
 	}
@@ -123,14 +123,14 @@
 }
 
 // holdersOf returns the daemons that are to record a stream.
-func (k *Keeper) holdersOf(id string) []string {
-	ranked := k.others.Top(id, k.others.Len())
+func (t *Keeper) holdersOf(id string) []string {
+	ranked := t.others.Top(id, t.others.Len())
 	if len(ranked) <= holdersPerStream {
 		return ranked
 	}
 	second := ranked[1]
 	for _, name := range ranked[1:] {
-		if k.zones[name] != k.zones[ranked[0]] {
+		if t.zones[name] != t.zones[ranked[0]] {
 			second = name
 			break
 		}
@@ -139,30 +139,30 @@
 }
 
 // Take merges streams reported by another daemon.
-func (k *Keeper) Take(now time.Time, streams []Stream) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+func (t *Keeper) Take(now time.Time, streams []Stream) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	for i := range streams {
-		k.streams.merge(now, &streams[i], false)
+		t.streams.merge(now, &streams[i], false)
 	}
 }
 
 // Find returns what began a stream, if this daemon has a record of it.
-func (k *Keeper) Find(now time.Time, id string) (began Began, known bool) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.streams.find(now, id)
+func (t *Keeper) Find(now time.Time, id string) (began Began, known bool) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.streams.find(now, id)
 }
 
 // Asked returns the daemons to query about a stream, or none if no daemon records streams with such an ID.
-func (k *Keeper) Asked(id string) []string {
+func (t *Keeper) Asked(id string) []string {
 	if id == "" || len(id) > maxIDBytes {
 		return nil
 	}
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	names := k.others.Top(id, maxQueried)
-	for _, name := range k.holdersOf(id) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	names := t.others.Top(id, maxQueried)
+	for _, name := range t.holdersOf(id) {
 		if !slices.Contains(names, name) {
 			names = append(names, name)
 		}
@@ -171,12 +171,12 @@
 }
 
 // Answer returns the response to another daemon's question.
-func (k *Keeper) Answer(now time.Time, question *Question) *Answer {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	began, known := k.streams.find(now, question.Stream)
+func (t *Keeper) Answer(now time.Time, question *Question) *Answer {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	began, known := t.streams.find(now, question.Stream)
 	return &Answer{
-		ID: question.ID, Known: known, Began: began, Versions: k.services[question.Service].list(), Fresh: now.Before(k.freshUntil),
+		ID: question.ID, Known: known, Began: began, Versions: t.services[question.Service].list(), Fresh: now.Before(t.freshUntil),
 	}
 }
 
@@ -185,16 +185,16 @@
 // show a single version of the service for as long as a client may wait. It also requires that one of these daemons
 // currently receives updates about new instances. If the client does not name the stream (named is false), this
 // requirement does not apply: the decision then rests on the versions that this daemon has seen.
-func (k *Keeper) Decide(now time.Time, service string, named bool, answers []*Answer) (software string, known bool) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	seen := k.services[service]
-	seen.prune(now.Add(-k.versionWindow))
+func (t *Keeper) Decide(now time.Time, service string, named bool, answers []*Answer) (software string, known bool) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	seen := t.services[service]
+	seen.prune(now.Add(-t.versionWindow))
 	if len(seen) != 1 {
 		return "", false
 	}
 	software = seen.list()[0]
-	fresh := now.Before(k.freshUntil) || !named
+	fresh := now.Before(t.freshUntil) || !named
 	for _, answer := range answers {
 		fresh = fresh || answer.Fresh
 		for _, other := range answer.Versions {
@@ -207,12 +207,12 @@
 }
 
 // Forget removes expired streams and versions.
-func (k *Keeper) Forget(now time.Time) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.streams.prune(now)
-	for _, seen := range k.services {
-		seen.prune(now.Add(-k.versionWindow))
+func (t *Keeper) Forget(now time.Time) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.streams.prune(now)
+	for _, seen := range t.services {
+		seen.prune(now.Add(-t.versionWindow))
 	}
 }
 
@@ -224,11 +224,11 @@
 }
 
 // Counts returns the current sizes of the state.
-func (k *Keeper) Counts() Counts {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	counts := Counts{Streams: len(k.streams)}
-	for _, seen := range k.services {
+func (t *Keeper) Counts() Counts {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	counts := Counts{Streams: len(t.streams)}
+	for _, seen := range t.services {
 		if len(seen) > 1 {
 			counts.Mixed++
 		}
--- a/resumption/tracker_test.go
+++ b/resumption/tracker_test.go
@@ -38,13 +38,13 @@
 		{"instances that report no version", []string{""}, true, true, nil, true},
 	}
 	for _, c := range cases {
-		k := NewKeeper()
-		k.SetSpan(time.Minute)
-		k.Observe(testStart, "svc", c.present)
+		tracker := NewKeeper()
+		tracker.SetSpan(time.Minute)
+		tracker.Observe(testStart, "svc", c.present)
 		if c.fresh {
-			k.SetFresh(testStart)
+			tracker.SetFresh(testStart)
 		}
-		if software, known := k.Decide(testStart, "svc", c.named, c.answers); known != c.known || known && software != c.present[0] {
+		if software, known := tracker.Decide(testStart, "svc", c.named, c.answers); known != c.known || known && software != c.present[0] {
 			t.Errorf("%s: %q, known %v", c.name, software, known)
 		}
 	}
@@ -52,34 +52,34 @@
 
 // TestVersionsCountForAWhile guards against removing a version while the streams that it began may still be resumed.
 func TestVersionsCountForAWhile(t *testing.T) {
-	k := NewKeeper()
-	k.SetSpan(30 * time.Second)
-	k.Observe(testStart, "svc", []string{"v1"})
+	tracker := NewKeeper()
+	tracker.SetSpan(30 * time.Second)
+	tracker.Observe(testStart, "svc", []string{"v1"})
 	now := testStart.Add(29 * time.Second)
-	k.Observe(now, "svc", []string{"v2"})
-	k.SetFresh(now)
-	if _, known := k.Decide(now, "svc", true, nil); known {
+	tracker.Observe(now, "svc", []string{"v2"})
+	tracker.SetFresh(now)
+	if _, known := tracker.Decide(now, "svc", true, nil); known {
 		t.Error("the previous version was removed while its streams may still be resumed")
 	}
 	now = now.Add(31 * time.Second)
-	k.Observe(now, "svc", []string{"v2"})
-	k.SetFresh(now)
-	if software, known := k.Decide(now, "svc", true, nil); !known || software != "v2" {
+	tracker.Observe(now, "svc", []string{"v2"})
+	tracker.SetFresh(now)
+	if software, known := tracker.Decide(now, "svc", true, nil); !known || software != "v2" {
 		t.Errorf("%q, known %v", software, known)
 	}
 	// The version seen most recently is kept however long ago it was seen.
-	if counts := k.Counts(); counts.Mixed != 0 {
+	if counts := tracker.Counts(); counts.Mixed != 0 {
 		t.Errorf("%+v", counts)
 	}
 }
 
 // TestFrozenDaemonIsNotFresh guards against a daemon that decides by state from before its process was frozen.
 func TestFrozenDaemonIsNotFresh(t *testing.T) {
-	k := NewKeeper()
-	k.SetSpan(time.Minute)
-	k.Observe(testStart, "svc", []string{"v1"})
-	k.SetFresh(testStart)
-	if _, known := k.Decide(testStart.Add(5*time.Second), "svc", true, nil); known {
+	tracker := NewKeeper()
+	tracker.SetSpan(time.Minute)
+	tracker.Observe(testStart, "svc", []string{"v1"})
+	tracker.SetFresh(testStart)
+	if _, known := tracker.Decide(testStart.Add(5*time.Second), "svc", true, nil); known {
 		t.Error("a daemon whose process was frozen decided")
 	}
 }
@@ -87,15 +87,15 @@
 // TestSecondVersionTellsOfStreamsBefore guards against streams that began before the second version appeared and that no
 // other daemon has recorded.
 func TestSecondVersionTellsOfStreamsBefore(t *testing.T) {
-	k := NewKeeper()
-	k.SetSpan(time.Minute)
-	k.SetDaemons([]Daemon{{"a", "z1"}, {"b", "z1"}, {"c", "z2"}})
-	if updates := k.Began(testStart, stream("s1", "v1")); updates != nil {
+	tracker := NewKeeper()
+	tracker.SetSpan(time.Minute)
+	tracker.SetDaemons([]Daemon{{"a", "z1"}, {"b", "z1"}, {"c", "z2"}})
+	if updates := tracker.Began(testStart, stream("s1", "v1")); updates != nil {
 		t.Errorf("updates %+v while there is one version", updates)
 	}
-	k.Take(testStart, []Stream{stream("of another daemon", "v1")})
+	tracker.Take(testStart, []Stream{stream("of another daemon", "v1")})
 	sent := map[string]int{}
-	for _, update := range k.Began(testStart, stream("s2", "v2")) {
+	for _, update := range tracker.Began(testStart, stream("s2", "v2")) {
 		for _, s := range update.Streams {
 			sent[s.ID]++
 		}
@@ -103,27 +103,27 @@
 	if sent["s1"] != holdersPerStream || sent["s2"] != holdersPerStream || len(sent) != 2 {
 		t.Errorf("streams in updates: %v", sent)
 	}
-	if updates := k.Began(testStart, stream("s3", "v1")); len(updates) != holdersPerStream || k.zones[updates[0].Daemon] == k.zones[updates[1].Daemon] {
+	if updates := tracker.Began(testStart, stream("s3", "v1")); len(updates) != holdersPerStream || tracker.zones[updates[0].Daemon] == tracker.zones[updates[1].Daemon] {
 		t.Errorf("updates %+v", updates)
 	}
 }
 
 // TestBookKeepsItsBounds guards against streams that never expire and against invalid IDs, which clients choose.
 func TestBookKeepsItsBounds(t *testing.T) {
-	k := NewKeeper()
-	k.Take(testStart, []Stream{stream("", "v1"), stream(string(make([]byte, maxIDBytes+1)), "v1"), {ID: "over", Service: "svc", Left: 0}})
-	if counts := k.Counts(); counts.Streams != 0 {
+	tracker := NewKeeper()
+	tracker.Take(testStart, []Stream{stream("", "v1"), stream(string(make([]byte, maxIDBytes+1)), "v1"), {ID: "over", Service: "svc", Left: 0}})
+	if counts := tracker.Counts(); counts.Streams != 0 {
 		t.Errorf("%d invalid streams recorded", counts.Streams)
 	}
-	k.Take(testStart, []Stream{stream("twice", "v1"), stream("twice", "v2"), stream("s", "v1")})
-	if _, known := k.Find(testStart, "twice"); known {
+	tracker.Take(testStart, []Stream{stream("twice", "v1"), stream("twice", "v2"), stream("s", "v1")})
+	if _, known := tracker.Find(testStart, "twice"); known {
 		t.Error("a stream reported with two versions is found")
 	}
-	if began, known := k.Find(testStart, "s"); !known || began != (Began{Service: "svc", Software: "v1"}) {
+	if began, known := tracker.Find(testStart, "s"); !known || began != (Began{Service: "svc", Software: "v1"}) {
 		t.Errorf("%+v, known %v", began, known)
 	}
-	k.Forget(testStart.Add(time.Minute))
-	if counts := k.Counts(); counts.Streams != 0 {
+	tracker.Forget(testStart.Add(time.Minute))
+	if counts := tracker.Counts(); counts.Streams != 0 {
 		t.Errorf("%d streams left after they expired", counts.Streams)
 	}
 }
@@ -132,18 +132,18 @@
 func BenchmarkBegan(b *testing.B) {
 	for _, count := range []int{30, 100, 300, 985} {
 		b.Run(strconv.Itoa(count), func(b *testing.B) {
-			k := NewKeeper()
-			k.SetSpan(time.Minute)
+			tracker := NewKeeper()
+			tracker.SetSpan(time.Minute)
 			var others []Daemon
 			for number := range count {
 				others = append(others, Daemon{string(rune('a'+number%26)) + string(rune('a'+number/26)), string(rune('a' + number%3))})
 			}
-			k.SetDaemons(others)
-			k.Observe(testStart, "svc", []string{"v1", "v2"})
+			tracker.SetDaemons(others)
+			tracker.Observe(testStart, "svc", []string{"v1", "v2"})
 			number := 0
 			for b.Loop() {
 				number++
-				k.Began(testStart, stream(string(rune('a'+number%1000)), "v1"))
+				tracker.Began(testStart, stream(string(rune('a'+number%1000)), "v1"))
 			}
 		})
 	}
