--- /dev/null
+++ b/resumption/tracker.go
@@ -0,0 +1,237 @@
+package resumption
+
+import (
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/wheatweir/wheatweir/rendezvous"
+)
+
+const (
+	// holdersPerStream is how many other daemons record a stream, in two different zones if possible.
+	holdersPerStream = 2
+	// maxQueried is how many top-ranked daemons are queried about a stream. It exceeds holdersPerStream because the holders
+	// may have lost their rank: daemons may have stopped and restarted since.
+	maxQueried = 8
+	// freshWindow is how long after a confirmation a daemon counts as receiving updates about new instances.
+	freshWindow = 300 * time.Millisecond
+)
+
+// Daemon identifies another daemon and its zone.
+type Daemon struct {
+	Name string
+	Zone string
+}
+
+// Keeper tracks, for one daemon, which versions began streams and which versions each service has.
+type Keeper struct {
+	mutex   sync.Mutex
+	streams streamIndex
+	// services holds the versions of each service. A version counts for versionWindow after it was last seen.
+	services      map[string]versions
+	versionWindow time.Duration
+	others        rendezvous.Set
+	zones         map[string]string
+	// freshUntil is the time until which this daemon counts as receiving updates about new instances.
+	freshUntil time.Time
+}
+
+// NewKeeper returns an empty Keeper.
+func NewKeeper() *Keeper {
+	return &Keeper{streams: streamIndex{}, services: map[string]versions{}, zones: map[string]string{}}
+}
+
+// SetDaemons replaces the set of other live daemons.
+func (t *Keeper) SetDaemons(others []Daemon) {
+	names, zones := make([]string, 0, len(others)), make(map[string]string, len(others))
+	for _, other := range others {
+		names = append(names, other.Name)
+		zones[other.Name] = other.Zone
+	}
+	set := rendezvous.NewSet(names)
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.others, t.zones = set, zones
+}
+
+// SetFresh records that this daemon currently receives updates about new instances. It must be called repeatedly, so that
+// a daemon whose process was frozen does not count as up to date.
+func (t *Keeper) SetFresh(now time.Time) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.freshUntil = now.Add(freshWindow)
+}
+
+// SetSpan sets how long after a version was last seen its streams may still be resumed.
+func (t *Keeper) SetSpan(versionWindow time.Duration) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.versionWindow = versionWindow
+}
+
+// Observe records the versions of a service that are present now. When the service first has several versions, it returns
+// the updates to send to other daemons.
+func (t *Keeper) Observe(now time.Time, service string, present []string) []Tell {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.observe(now, service, present)
+}
+
+func (t *Keeper) observe(now time.Time, service string, present []string) []Tell {
+	seen := t.services[service]
+	if seen == nil {
+		seen = versions{}
+		t.services[service] = seen
+	}
+	seen.prune(now.Add(-t.versionWindow))
+	before := len(seen)
+	for _, software := range present {
+		seen.markSeen(now, software)
+	}
+	if before > 1 || len(seen) < 2 {
+		return nil
+	}
+	return t.groupByDaemon(t.streams.ownStreams(now, service))
+}
+
+// Began records a stream that this daemon begins or resumes. It returns the updates to send to other daemons.
+func (t *Keeper) Began(now time.Time, stream Stream) []Tell {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.streams.merge(now, &stream, true)
+	updates := t.observe(now, stream.Service, []string{stream.Software})
+	if updates == nil && len(t.services[stream.Service]) > 1 {
+		updates = t.groupByDaemon([]Stream{stream})
+	}
+	return updates
+}
+
+// groupByDaemon groups streams by the daemons that are to record them.
+func (t *Keeper) groupByDaemon(streams []Stream) []Tell {
+	byDaemon := map[string][]Stream{}
+	for _, stream := range streams {
+		for _, name := range t.holdersOf(stream.ID) {
+			byDaemon[name] = append(byDaemon[name], stream)
+		}
+	}
+	updates := make([]Tell, 0, len(byDaemon))
+	for name, assigned := range byDaemon {
+		updates = append(updates, Tell{Daemon: name, Streams: assigned})
+	}
+	return updates
+}
+
+// holdersOf returns the daemons that are to record a stream.
+func (t *Keeper) holdersOf(id string) []string {
+	ranked := t.others.Top(id, t.others.Len())
+	if len(ranked) <= holdersPerStream {
+		return ranked
+	}
+	second := ranked[1]
+	for _, name := range ranked[1:] {
+		if t.zones[name] != t.zones[ranked[0]] {
+			second = name
+			break
+		}
+	}
+	return []string{ranked[0], second}
+}
+
+// Take merges streams reported by another daemon.
+func (t *Keeper) Take(now time.Time, streams []Stream) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	for i := range streams {
+		t.streams.merge(now, &streams[i], false)
+	}
+}
+
+// Find returns what began a stream, if this daemon has a record of it.
+func (t *Keeper) Find(now time.Time, id string) (began Began, known bool) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.streams.find(now, id)
+}
+
+// Asked returns the daemons to query about a stream, or none if no daemon records streams with such an ID.
+func (t *Keeper) Asked(id string) []string {
+	if id == "" || len(id) > maxIDBytes {
+		return nil
+	}
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	names := t.others.Top(id, maxQueried)
+	for _, name := range t.holdersOf(id) {
+		if !slices.Contains(names, name) {
+			names = append(names, name)
+		}
+	}
+	return names
+}
+
+// Answer returns the response to another daemon's question.
+func (t *Keeper) Answer(now time.Time, question *Question) *Answer {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	began, known := t.streams.find(now, question.Stream)
+	return &Answer{
+		ID: question.ID, Known: known, Began: began, Versions: t.services[question.Service].list(), Fresh: now.Before(t.freshUntil),
+	}
+}
+
+// Decide returns the version at which to resume a stream that no daemon has a record of, given the answers of the queried
+// daemons. It returns false if the version cannot be determined. It can be determined only if this daemon and the answers
+// show a single version of the service for as long as a client may wait. It also requires that one of these daemons
+// currently receives updates about new instances. If the client does not name the stream (named is false), this
+// requirement does not apply: the decision then rests on the versions that this daemon has seen.
+func (t *Keeper) Decide(now time.Time, service string, named bool, answers []*Answer) (software string, known bool) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	seen := t.services[service]
+	seen.prune(now.Add(-t.versionWindow))
+	if len(seen) != 1 {
+		return "", false
+	}
+	software = seen.list()[0]
+	fresh := now.Before(t.freshUntil) || !named
+	for _, answer := range answers {
+		fresh = fresh || answer.Fresh
+		for _, other := range answer.Versions {
+			if other != software {
+				return "", false
+			}
+		}
+	}
+	return software, fresh
+}
+
+// Forget removes expired streams and versions.
+func (t *Keeper) Forget(now time.Time) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.streams.prune(now)
+	for _, seen := range t.services {
+		seen.prune(now.Add(-t.versionWindow))
+	}
+}
+
+// Counts are the sizes of a Keeper's state.
+type Counts struct {
+	// Streams is the number of recorded streams, Mixed the number of services with several versions.
+	Streams int
+	Mixed   int
+}
+
+// Counts returns the current sizes of the state.
+func (t *Keeper) Counts() Counts {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	counts := Counts{Streams: len(t.streams)}
+	for _, seen := range t.services {
+		if len(seen) > 1 {
+			counts.Mixed++
+		}
+	}
+	return counts
+}
