--- a/admit/example_test.go
+++ b/admit/example_test.go
@@ -15,7 +15,7 @@
 	queue.Arrive(now, &admit.Ticket{})
 	queue.Arrive(now, &admit.Ticket{Priority: api.PriorityFree})
 	queue.Arrive(now.Add(time.Second), &admit.Ticket{Priority: api.PriorityCritical})
-	started, _ := queue.End(now.Add(2*time.Second), time.Second)
+	started, _ := queue.Finish(now.Add(2*time.Second), time.Second)
 	fmt.Println(started[0].Priority)
 	// Output: critical
 }
--- a/admit/gate.go
+++ b/admit/gate.go
@@ -19,9 +19,9 @@
 	return &Gate{queue: NewQueue(settings, limit)}
 }
 
-// Enter waits until the request is admitted. It returns true if so, and the
+// Acquire waits until the request is admitted. It returns true if so, and the
 // caller must then call Exit once. Otherwise it returns false and the refusal.
-func (g *Gate) Enter(ctx context.Context, ticket *Ticket) (outcome.Result, bool) {
+func (g *Gate) Acquire(ctx context.Context, ticket *Ticket) (outcome.Result, bool) {
 	ticket.verdict = make(chan Verdict, 1)
 	g.mutex.Lock()
 	verdict := g.queue.Arrive(time.Now(), ticket)
@@ -58,10 +58,10 @@
 	return Verdict{Refusal: outcome.Refuse(reason, retryAfter)}
 }
 
-// Exit releases the slot of an admitted request, which held it for the given time.
-func (g *Gate) Exit(held time.Duration) {
+// Release releases the slot of an admitted request, which held it for the given time.
+func (g *Gate) Release(held time.Duration) {
 	g.mutex.Lock()
-	started, expired := g.queue.End(time.Now(), held)
+	started, expired := g.queue.Finish(time.Now(), held)
 	g.mutex.Unlock()
 	g.deliver(started, expired)
 }
--- a/admit/queue.go
+++ b/admit/queue.go
@@ -126,10 +126,10 @@
 // serviceTimeDivisor is the inverse of a new sample's weight in the moving average.
 const serviceTimeDivisor = 8
 
-// End records that an admitted request has ended after it held its slot for the
+// Finish records that an admitted request has ended after it held its slot for the
 // given time. It returns the waiting tickets that start and those whose deadline
 // has passed.
-func (q *Queue) End(now time.Time, held time.Duration) (started, expired []*Ticket) {
+func (q *Queue) Finish(now time.Time, held time.Duration) (started, expired []*Ticket) {
 	q.running--
 	if q.serviceTime == 0 {
 		q.serviceTime = held
--- a/admit/queue_test.go
+++ b/admit/queue_test.go
@@ -67,7 +67,7 @@
 	late := &admit.Ticket{Priority: api.PriorityCritical}
 	queue.Arrive(now.Add(11*time.Second), late)
 	for i, want := range []*admit.Ticket{early, free, late} {
-		started, _ := queue.End(now.Add(12*time.Second), time.Second)
+		started, _ := queue.Finish(now.Add(12*time.Second), time.Second)
 		if len(started) != 1 || started[0] != want {
 			t.Fatalf("free slot %d was given to another request", i)
 		}
@@ -110,7 +110,7 @@
 			case 2:
 				if running > 0 {
 					running--
-					record(queue.End(now, time.Second))
+					record(queue.Finish(now, time.Second))
 				}
 			case 3:
 				for ticket := range waiting {
@@ -151,16 +151,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				gate := admit.NewGate(admit.DefaultSettings(), 1)
-				gate.Enter(context.Background(), &admit.Ticket{})
+				gate.Acquire(context.Background(), &admit.Ticket{})
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
 				if c.cancelAfter > 0 {
 					time.AfterFunc(c.cancelAfter, cancel)
 				}
 				if c.exitAfter > 0 {
-					time.AfterFunc(c.exitAfter, func() { gate.Exit(time.Second) })
+					time.AfterFunc(c.exitAfter, func() { gate.Release(time.Second) })
 				}
-				refusal, admitted := gate.Enter(ctx, &admit.Ticket{Deadline: time.Now().Add(c.deadline)})
+				refusal, admitted := gate.Acquire(ctx, &admit.Ticket{Deadline: time.Now().Add(c.deadline)})
 				if admitted != c.admitted || refusal.Reason != c.want {
 					t.Fatalf("admitted %v, refusal %+v", admitted, refusal)
 				}
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -55,7 +55,7 @@
 			t.End(now, "x", balance.Unreached, siblings("x"))
 		}, "x"},
 		{"reported to lack the model", []*fleet.Instance{instance("x", "z", model)}, balance.Request{Model: "m"}, func(t *balance.Tracker) {
-			t.Missing(now, "x", "m", "", time.Minute)
+			t.ObserveMissing(now, "x", "m", "", time.Minute)
 		}, ""},
 		{"avoided by two other daemons", []*fleet.Instance{instance("x", "z"), instance("y", "z")}, balance.Request{}, func(t *balance.Tracker) {
 			t.SetPeer(now, "peer", map[string]balance.Load{"x": {Avoiding: 1}, "y": {Requests: 5}})
@@ -189,7 +189,7 @@
 	if declined > 8 {
 		t.Errorf("%d of 200 requests in ten seconds went to an instance that declines all requests", declined)
 	}
-	if own := tracker.Own(now)["x"]; own.Avoiding != 1 {
+	if own := tracker.OwnLoads(now)["x"]; own.Avoiding != 1 {
 		t.Errorf("the backoff is not reported: %+v", own)
 	}
 }
--- a/balance/deltas.go
+++ b/balance/deltas.go
@@ -15,8 +15,10 @@
 	fullSentAt time.Time
 }
 
-// Due reports whether the next update has to contain all loads.
-func (t *LoadDeltas) Due(now time.Time) bool { return now.Sub(t.fullSentAt) >= fullUpdateInterval }
+// FullUpdateDue reports whether the next update has to contain all loads.
+func (t *LoadDeltas) FullUpdateDue(now time.Time) bool {
+	return now.Sub(t.fullSentAt) >= fullUpdateInterval
+}
 
 // Next returns the next update, and whether it contains changes only. The string receivers
 // identifies the set of receivers: a different set from the last time gets all loads. The caller
@@ -24,7 +26,7 @@
 func (t *LoadDeltas) Next(now time.Time, receivers string, loads map[string]Load) (update map[string]Load, changes bool) {
 	sent := t.sent
 	t.sent = loads
-	if receivers != t.receivers || t.Due(now) {
+	if receivers != t.receivers || t.FullUpdateDue(now) {
 		t.receivers, t.fullSentAt = receivers, now
 		return loads, false
 	}
--- a/balance/deltas_test.go
+++ b/balance/deltas_test.go
@@ -33,7 +33,7 @@
 			if lost {
 				continue
 			}
-			tracker.TakePeer(now, "peer", update, changes)
+			tracker.MergePeer(now, "peer", update, changes)
 			if got := tracker.Group(now, []string{"peer"}); !maps.Equal(got, loads) {
 				t.Fatalf("counted %v, want %v", got, loads)
 			}
@@ -57,7 +57,7 @@
 	if update, changes := deltas.Next(now, "y", loads); changes || len(update) != 2 {
 		t.Errorf("to another receiver %v, changes %v", update, changes)
 	}
-	if deltas.Due(now.Add(900*time.Millisecond)) || !deltas.Due(now.Add(time.Second)) {
+	if deltas.FullUpdateDue(now.Add(900*time.Millisecond)) || !deltas.FullUpdateDue(now.Add(time.Second)) {
 		t.Error("all loads are not due after exactly one second")
 	}
 }
--- a/balance/forecast.go
+++ b/balance/forecast.go
@@ -54,10 +54,10 @@
 	return &Forecaster{services: map[string]*timings{}, instances: map[string]*timings{}}
 }
 
-// First records how long the first token of a request took. The candidate holds the load of the
+// ObserveFirstToken records how long the first token of a request took. The candidate holds the load of the
 // instance when the request was sent, and promptTokens is the request's own prompt. Samples of a
 // full batch are ignored, because they include the wait for a slot.
-func (f *Forecaster) First(candidate *Candidate, promptTokens int, took time.Duration) {
+func (f *Forecaster) ObserveFirstToken(candidate *Candidate, promptTokens int, took time.Duration) {
 	tokens := candidate.Load.PromptTokens + promptTokens
 	if candidate.Load.Requests >= candidate.Instance.Slots || tokens < minReadTokens {
 		return
@@ -65,8 +65,8 @@
 	f.record(candidate, took.Seconds()/float64(tokens), func(t *timings) *average { return &t.promptTokenSeconds })
 }
 
-// Run records how long a complete answer ran from its first token on.
-func (f *Forecaster) Run(candidate *Candidate, took time.Duration) {
+// ObserveRun records how long a complete answer ran from its first token on.
+func (f *Forecaster) ObserveRun(candidate *Candidate, took time.Duration) {
 	f.record(candidate, took.Seconds(), func(t *timings) *average { return &t.runSeconds })
 }
 
@@ -87,8 +87,8 @@
 	return averages
 }
 
-// Forget removes the averages of instances that are not present.
-func (f *Forecaster) Forget(present func(id string) bool) {
+// Prune removes the averages of instances that are not present.
+func (f *Forecaster) Prune(present func(id string) bool) {
 	for id := range f.instances {
 		if !present(id) {
 			delete(f.instances, id)
@@ -96,11 +96,11 @@
 	}
 }
 
-// FirstToken predicts how long the first token of a request takes at a candidate, whose load must
+// PredictFirstToken predicts how long the first token of a request takes at a candidate, whose load must
 // not include the request itself. Slots of the batch are assumed to become free one by one, evenly
 // over the run time of answers. A prompt is read when its request has a slot. Zero means that there
 // are no samples.
-func (f *Forecaster) FirstToken(candidate *Candidate, promptTokens int) time.Duration {
+func (f *Forecaster) PredictFirstToken(candidate *Candidate, promptTokens int) time.Duration {
 	instance, load := candidate.Instance, candidate.Load
 	promptTokenSeconds := f.average(candidate, func(t *timings) *average { return &t.promptTokenSeconds })
 	runSeconds := f.average(candidate, func(t *timings) *average { return &t.runSeconds })
--- a/balance/forecast_test.go
+++ b/balance/forecast_test.go
@@ -24,8 +24,8 @@
 func trainedForecaster(id string) *balance.Forecaster {
 	f := balance.NewForecaster()
 	for range 20 {
-		f.Run(typical(id, balance.Load{}), time.Second)
-		f.First(typical(id, balance.Load{Requests: 2, PromptTokens: 9000}), 1000, 200*time.Millisecond)
+		f.ObserveRun(typical(id, balance.Load{}), time.Second)
+		f.ObserveFirstToken(typical(id, balance.Load{Requests: 2, PromptTokens: 9000}), 1000, 200*time.Millisecond)
 	}
 	return f
 }
@@ -46,7 +46,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got := trainedForecaster("x").FirstToken(typical("x", c.load), c.prompt)
+			got := trainedForecaster("x").PredictFirstToken(typical("x", c.load), c.prompt)
 			if (got - c.want).Abs() > time.Millisecond {
 				t.Errorf("predicted %v, want %v", got, c.want)
 			}
@@ -55,7 +55,7 @@
 }
 
 func TestNothingLearnedPredictsNothing(t *testing.T) {
-	if got := balance.NewForecaster().FirstToken(typical("x", balance.Load{Requests: 100}), 1000); got != 0 {
+	if got := balance.NewForecaster().PredictFirstToken(typical("x", balance.Load{Requests: 100}), 1000); got != 0 {
 		t.Errorf("predicted %v", got)
 	}
 }
@@ -63,28 +63,28 @@
 func TestAnInstanceWithoutSamplesIsLikeItsService(t *testing.T) {
 	queued := balance.Load{Requests: forecastSlots}
 	f := trainedForecaster("x")
-	if known, other := f.FirstToken(typical("x", queued), 1000), f.FirstToken(typical("y", queued), 1000); known != other {
+	if known, other := f.PredictFirstToken(typical("x", queued), 1000), f.PredictFirstToken(typical("y", queued), 1000); known != other {
 		t.Errorf("predicted %v for an unknown instance, %v for the known one", other, known)
 	}
 	for range 20 {
-		f.Run(typical("slow", balance.Load{}), 5*time.Second)
+		f.ObserveRun(typical("slow", balance.Load{}), 5*time.Second)
 	}
-	if got := f.FirstToken(typical("slow", queued), 1000); got < 500*time.Millisecond {
+	if got := f.PredictFirstToken(typical("slow", queued), 1000); got < 500*time.Millisecond {
 		t.Errorf("predicted %v at an instance whose answers run five times as long", got)
 	}
-	f.Forget(func(id string) bool { return id != "slow" })
-	if got := f.FirstToken(typical("slow", queued), 1000); got > 400*time.Millisecond {
+	f.Prune(func(id string) bool { return id != "slow" })
+	if got := f.PredictFirstToken(typical("slow", queued), 1000); got > 400*time.Millisecond {
 		t.Errorf("predicted %v from removed averages", got)
 	}
 }
 
 func TestAFullBatchTeachesNothingAboutReading(t *testing.T) {
 	f := trainedForecaster("x")
-	before := f.FirstToken(typical("x", balance.Load{}), 1000)
+	before := f.PredictFirstToken(typical("x", balance.Load{}), 1000)
 	for range 50 {
-		f.First(typical("x", balance.Load{Requests: forecastSlots, PromptTokens: 5000}), 1000, 3*time.Second)
+		f.ObserveFirstToken(typical("x", balance.Load{Requests: forecastSlots, PromptTokens: 5000}), 1000, 3*time.Second)
 	}
-	if after := f.FirstToken(typical("x", balance.Load{}), 1000); after != before {
+	if after := f.PredictFirstToken(typical("x", balance.Load{}), 1000); after != before {
 		t.Errorf("predicted %v before and %v after", before, after)
 	}
 }
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -62,8 +62,8 @@
 // Dead instances look idle, so they would be picked first.
 const crashedBackoff = 4 * time.Second
 
-// Crashed records that an instance ended some time ago.
-func (t *Tracker) Crashed(now time.Time, id string, age time.Duration) {
+// RecordCrash records that an instance ended some time ago.
+func (t *Tracker) RecordCrash(now time.Time, id string, age time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	until := now.Add(crashedBackoff - age)
--- a/balance/peers.go
+++ b/balance/peers.go
@@ -20,12 +20,12 @@
 
 // SetPeer replaces the load that another daemon puts on instances.
 func (t *Tracker) SetPeer(now time.Time, peer string, loads map[string]Load) {
-	t.TakePeer(now, peer, loads, false)
+	t.MergePeer(now, peer, loads, false)
 }
 
-// TakePeer merges a load update of another daemon: all of its loads, or only the changed ones, as
+// MergePeer merges a load update of another daemon: all of its loads, or only the changed ones, as
 // LoadDeltas returns them.
-func (t *Tracker) TakePeer(now time.Time, peer string, update map[string]Load, changes bool) {
+func (t *Tracker) MergePeer(now time.Time, peer string, update map[string]Load, changes bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	broken := newlyBroken(t.peers[peer].loads, update)
@@ -137,7 +137,7 @@
 
 // Group returns the sum of the loads of this daemon and of some others, by instance.
 func (t *Tracker) Group(now time.Time, peers []string) map[string]Load {
-	total := t.Own(now)
+	total := t.OwnLoads(now)
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, peer := range peers {
--- a/balance/peers_test.go
+++ b/balance/peers_test.go
@@ -102,18 +102,18 @@
 	for second := range 4 {
 		for _, peer := range []string{"a", "b"} {
 			at := now.Add(time.Duration(second) * time.Second)
-			tracker.TakePeer(at, peer, map[string]balance.Load{"x": broken, "y": {Requests: 5}}, false)
+			tracker.MergePeer(at, peer, map[string]balance.Load{"x": broken, "y": {Requests: 5}}, false)
 		}
 	}
 	later := now.Add(3500 * time.Millisecond)
 	for _, peer := range []string{"a", "b"} {
-		tracker.TakePeer(later, peer, map[string]balance.Load{"x": {}}, true)
+		tracker.MergePeer(later, peer, map[string]balance.Load{"x": {}}, true)
 	}
 	if got := balance.NewPicker(tracker).Pick(later, group, &balance.Request{}).Instance.ID; got != "x" {
 		t.Error("not picked although no daemon avoids it any more")
 	}
 	for _, peer := range []string{"a", "b"} {
-		tracker.TakePeer(later, peer, map[string]balance.Load{"x": broken}, true)
+		tracker.MergePeer(later, peer, map[string]balance.Load{"x": broken}, true)
 	}
 	if got := balance.NewPicker(tracker).Pick(later.Add(10*time.Millisecond), group, &balance.Request{}).Instance.ID; got == "x" {
 		t.Error("picked although two daemons have just reported new failures")
--- a/balance/picker.go
+++ b/balance/picker.go
@@ -61,8 +61,8 @@
 	// Slowness is how long the instance's work takes relative to the typical instance. Zero counts
 	// as one.
 	Slowness float64
-	// Of is the number of candidates that this one was chosen from.
-	Of int
+	// CandidateCount is the number of candidates that this one was chosen from.
+	CandidateCount int
 	// By is the daemon that made the choice; empty for this one.
 	By string
 }
@@ -144,7 +144,7 @@
 	if count == 0 {
 		return nil
 	}
-	best.Of = count
+	best.CandidateCount = count
 	best.Crowded = best.crowded(request)
 	return &best
 }
--- a/balance/slowness.go
+++ b/balance/slowness.go
@@ -6,10 +6,10 @@
 	"github.com/wheatweir/wheatweir/fleet"
 )
 
-// Paces provides the slowness of an instance: the time its work takes relative to the typical
+// SlownessSource provides the slowness of an instance: the time its work takes relative to the typical
 // instance of its service. 1 is typical, 2 takes twice as long. It is called once for each
 // candidate of a choice and must be safe for concurrent use.
-type Paces interface {
+type SlownessSource interface {
 	Slowness(instance string) float64
 }
 
@@ -25,9 +25,9 @@
 	unevenRatio = 1.5
 )
 
-// SetPaces sets the source of the slowness of instances. It must be called before the first use of
+// SetSlownessSource sets the source of the slowness of instances. It must be called before the first use of
 // the tracker. With nil, all instances are typical.
-func (t *Tracker) SetPaces(p Paces) { t.paces = p }
+func (t *Tracker) SetSlownessSource(p SlownessSource) { t.paces = p }
 
 // boundedSlowness limits a slowness to the valid range. Zero, negative numbers, NaN and infinity
 // count as typical.
--- a/balance/tokentimes.go
+++ b/balance/tokentimes.go
@@ -43,9 +43,9 @@
 	return float64(stated)
 }
 
-// Generated records the token time of a complete answer: the output tokens that its request stated,
+// ObserveGeneration records the token time of a complete answer: the output tokens that its request stated,
 // zero if it stated none, and how long the answer ran from its first token on.
-func (f *Forecaster) Generated(candidate *Candidate, outputTokens int, took time.Duration) {
+func (f *Forecaster) ObserveGeneration(candidate *Candidate, outputTokens int, took time.Duration) {
 	averages := timingsOf(f.services, candidate.Instance.Service)
 	averages.wholeRunSeconds.add(took.Seconds()/boundedSlowness(candidate.Slowness), serviceSampleWeight)
 	averages.expectedTokens.add(expectedOutput(outputTokens), serviceSampleWeight)
--- a/balance/tracker.go
+++ b/balance/tracker.go
@@ -48,7 +48,7 @@
 	peersExpiredAt time.Time
 	forecaster     *Forecaster
 	// paces is nil if all instances count as typical.
-	paces Paces
+	paces SlownessSource
 	// changed signals changes of this daemon's own load.
 	changed chan struct{}
 }
@@ -97,8 +97,8 @@
 	t.notifyChanged()
 }
 
-// Heard records that an instance sent data.
-func (t *Tracker) Heard(id string) {
+// ObserveActivity records that an instance sent data.
+func (t *Tracker) ObserveActivity(id string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	state := t.state(id)
@@ -106,44 +106,44 @@
 	state.declinedInARow = 0
 }
 
-// Started records that the instance has read the prompt of a request.
-func (t *Tracker) Started(id string, promptTokens int) {
+// ObservePromptRead records that the instance has read the prompt of a request.
+func (t *Tracker) ObservePromptRead(id string, promptTokens int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.state(id).own.PromptTokens -= promptTokens
 	t.notifyChanged()
 }
 
-// First records how long the first token of a request took, see Forecaster.First.
-func (t *Tracker) First(candidate *Candidate, promptTokens int, took time.Duration) {
+// ObserveFirstToken records how long the first token of a request took, see Forecaster.ObserveFirstToken.
+func (t *Tracker) ObserveFirstToken(candidate *Candidate, promptTokens int, took time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.forecaster.First(candidate, promptTokens, took)
+	t.forecaster.ObserveFirstToken(candidate, promptTokens, took)
 }
 
-// Run records how long a complete answer ran from its first token on.
-func (t *Tracker) Run(candidate *Candidate, took time.Duration) {
+// ObserveRun records how long a complete answer ran from its first token on.
+func (t *Tracker) ObserveRun(candidate *Candidate, took time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.forecaster.Run(candidate, took)
+	t.forecaster.ObserveRun(candidate, took)
 }
 
-// Generated records the token time of a complete answer, see Forecaster.Generated.
-func (t *Tracker) Generated(candidate *Candidate, outputTokens int, took time.Duration) {
+// ObserveGeneration records the token time of a complete answer, see Forecaster.ObserveGeneration.
+func (t *Tracker) ObserveGeneration(candidate *Candidate, outputTokens int, took time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.forecaster.Generated(candidate, outputTokens, took)
+	t.forecaster.ObserveGeneration(candidate, outputTokens, took)
 }
 
-// FirstToken predicts how long the first token of a request takes, see Forecaster.FirstToken.
-func (t *Tracker) FirstToken(candidate *Candidate, promptTokens int) time.Duration {
+// PredictFirstToken predicts how long the first token of a request takes, see Forecaster.PredictFirstToken.
+func (t *Tracker) PredictFirstToken(candidate *Candidate, promptTokens int) time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.forecaster.FirstToken(candidate, promptTokens)
+	return t.forecaster.PredictFirstToken(candidate, promptTokens)
 }
 
-// Own returns the load from this daemon, and which instances it avoids, by instance.
-func (t *Tracker) Own(now time.Time) map[string]Load {
+// OwnLoads returns the load from this daemon, and which instances it avoids, by instance.
+func (t *Tracker) OwnLoads(now time.Time) map[string]Load {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	loads := map[string]Load{}
@@ -183,17 +183,17 @@
 	return 0
 }
 
-// Missing records that an instance does not have a model or adapter although it is listed with it.
+// ObserveMissing records that an instance does not have a model or adapter although it is listed with it.
 // The record expires after span.
-func (t *Tracker) Missing(now time.Time, instance, model, adapter string, span time.Duration) {
+func (t *Tracker) ObserveMissing(now time.Time, instance, model, adapter string, span time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.missing[missingKey{instance, model, adapter}] = now.Add(span)
 }
 
-// Forget removes the state of instances that are not present and have no requests, and expired
+// Prune removes the state of instances that are not present and have no requests, and expired
 // records.
-func (t *Tracker) Forget(now time.Time, present func(id string) bool) {
+func (t *Tracker) Prune(now time.Time, present func(id string) bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for id, state := range t.instances {
@@ -206,7 +206,7 @@
 			delete(t.missing, key)
 		}
 	}
-	t.forecaster.Forget(present)
+	t.forecaster.Prune(present)
 	t.expirePeers(now)
 }
 
--- a/balance/uneven_loop_test.go
+++ b/balance/uneven_loop_test.go
@@ -127,7 +127,7 @@
 		l.daemons = append(l.daemons, balance.NewForecaster())
 	}
 	if paces {
-		l.tracker.SetPaces(known)
+		l.tracker.SetSlownessSource(known)
 	}
 	l.picker = balance.NewPicker(l.tracker)
 	return l
@@ -144,7 +144,7 @@
 		OutputTokens: request.output, TargetGap: loopTargetGap, Tokens: forecaster.TokenTimes("svc"),
 	})
 	request.sent, request.unread = now, request.prompt
-	request.forecast = forecaster.FirstToken(request.candidate, request.prompt)
+	request.forecast = forecaster.PredictFirstToken(request.candidate, request.prompt)
 	l.tracker.Begin(request.candidate.Instance.ID, request.prompt)
 	server := l.servers[slices.Index(instances, request.candidate.Instance)]
 	server.queue = append(server.queue, request)
@@ -156,7 +156,7 @@
 // endStep generates the next token of each request in the batch whose prompt is read.
 func (l *closedLoop) endStep(server *loopServer) {
 	now := time.Now()
-	l.tracker.Heard(server.instance.ID)
+	l.tracker.ObserveActivity(server.instance.ID)
 	server.batch = slices.DeleteFunc(server.batch, func(request *loopRequest) bool {
 		if request.unread > 0 {
 			return false
@@ -174,15 +174,15 @@
 	forecaster, id := l.daemons[request.daemon], request.candidate.Instance.ID
 	if request.first.IsZero() {
 		request.first = now
-		l.tracker.Started(id, request.prompt)
-		forecaster.First(request.candidate, request.prompt, now.Sub(request.sent))
+		l.tracker.ObservePromptRead(id, request.prompt)
+		forecaster.ObserveFirstToken(request.candidate, request.prompt, now.Sub(request.sent))
 	} else {
 		request.longest = max(request.longest, now.Sub(request.last))
 	}
 	request.last = now
 	if request.emitted == request.output {
-		forecaster.Run(request.candidate, now.Sub(request.first))
-		forecaster.Generated(request.candidate, request.output, now.Sub(request.first))
+		forecaster.ObserveRun(request.candidate, now.Sub(request.first))
+		forecaster.ObserveGeneration(request.candidate, request.output, now.Sub(request.first))
 		l.tracker.End(now, id, balance.Served, nil)
 		l.ended = append(l.ended, request)
 	}
--- a/balance/uneven_test.go
+++ b/balance/uneven_test.go
@@ -66,10 +66,10 @@
 	return best
 }
 
-func (d randomChoice) pick(paces balance.Paces) *balance.Candidate {
+func (d randomChoice) pick(paces balance.SlownessSource) *balance.Candidate {
 	now := time.Unix(1000, 0)
 	tracker := balance.NewTracker()
-	tracker.SetPaces(paces)
+	tracker.SetSlownessSource(paces)
 	tracker.SetPeer(now, "peer", d.loads)
 	return balance.NewPicker(tracker).Pick(now, d.group, &d.request)
 }
@@ -131,9 +131,9 @@
 			t.Errorf("%v counts as %v, want %v", slowness, got, want)
 		}
 		f := trainedForecaster("x")
-		usual, known := f.FirstToken(typical("y", balance.Load{}), 1000), typical("y", balance.Load{})
+		usual, known := f.PredictFirstToken(typical("y", balance.Load{}), 1000), typical("y", balance.Load{})
 		known.Slowness = slowness
-		if got := f.FirstToken(known, 1000); (got - time.Duration(want*float64(usual))).Abs() > time.Microsecond {
+		if got := f.PredictFirstToken(known, 1000); (got - time.Duration(want*float64(usual))).Abs() > time.Microsecond {
 			t.Errorf("%v makes a forecast of %v, usually %v", slowness, got, usual)
 		}
 	}
@@ -147,10 +147,10 @@
 	now := time.Now()
 	for missing, want := range map[bool]string{true: "near", false: "far"} {
 		tracker := balance.NewTracker()
-		tracker.SetPaces(fixedPaces{"slow": 4})
+		tracker.SetSlownessSource(fixedPaces{"slow": 4})
 		tracker.SetPeer(now, "peer", map[string]balance.Load{"near": {Requests: 1, PromptTokens: 10000}, "far": {Requests: 1}, "slow": {Requests: 9}})
 		if missing {
-			tracker.Missing(now, "slow", "", "", time.Minute)
+			tracker.ObserveMissing(now, "slow", "", "", time.Minute)
 		}
 		group := []*fleet.Instance{instance("near", "z"), instance("far", "y"), instance("slow", "z")}
 		request := balance.Request{Zone: "z", ZoneCost: 0.5, OutputTokens: typicalTokens.Output, Tokens: typicalTokens, TargetGap: 500 * time.Millisecond}
@@ -228,7 +228,7 @@
 	now := time.Now()
 	for _, tokens := range []balance.TokenTimes{{}, typicalTokens} {
 		tracker := balance.NewTracker()
-		tracker.SetPaces(fixedPaces{"slow": 1.4, "fast": 0.6})
+		tracker.SetSlownessSource(fixedPaces{"slow": 1.4, "fast": 0.6})
 		if tokens == (balance.TokenTimes{}) {
 			for range 8 {
 				recordAnswer(tracker, typical("other", balance.Load{}), 50)
@@ -253,8 +253,8 @@
 	if candidate.Slowness == 0 {
 		factor = 1
 	}
-	tracker.First(candidate, 2000, time.Duration(factor*float64(100*time.Millisecond)))
-	tracker.Generated(candidate, output, time.Duration(factor*float64(output)*float64(20*time.Millisecond)))
+	tracker.ObserveFirstToken(candidate, 2000, time.Duration(factor*float64(100*time.Millisecond)))
+	tracker.ObserveGeneration(candidate, output, time.Duration(factor*float64(output)*float64(20*time.Millisecond)))
 }
 
 // TestTokenTimesAreThoseOfTheTypicalInstance guards against averages that depend on which servers
@@ -293,21 +293,21 @@
 	for range 7 {
 		slow := withSlowness("slow", 2)
 		slow.Load.Requests = 0
-		f.First(slow, 10000, 400*time.Millisecond)
-		f.Run(slow, 2*time.Second)
+		f.ObserveFirstToken(slow, 10000, 400*time.Millisecond)
+		f.ObserveRun(slow, 2*time.Second)
 	}
 	// A typical instance reads 1,000 tokens in 20 ms, and a slot becomes free each 100 ms.
 	for candidate, want := range map[*balance.Candidate]time.Duration{
 		withSlowness("typical", 1): 120 * time.Millisecond, withSlowness("fast", 0.5): 60 * time.Millisecond, withSlowness("slow", 2): 240 * time.Millisecond,
 	} {
-		if got := f.FirstToken(candidate, 1000); (got - want).Abs() > time.Millisecond {
+		if got := f.PredictFirstToken(candidate, 1000); (got - want).Abs() > time.Millisecond {
 			t.Errorf("predicted %v at the %s instance, want %v", got, candidate.Instance.ID, want)
 		}
 	}
 	for range 8 {
-		f.Run(withSlowness("slow", 2), 4*time.Second)
+		f.ObserveRun(withSlowness("slow", 2), 4*time.Second)
 	}
-	if got := f.FirstToken(withSlowness("slow", 2), 1000); got < 300*time.Millisecond || got > 500*time.Millisecond {
+	if got := f.PredictFirstToken(withSlowness("slow", 2), 1000); got < 300*time.Millisecond || got > 500*time.Millisecond {
 		t.Errorf("predicted %v at an instance with samples of its own", got)
 	}
 }
@@ -328,7 +328,7 @@
 				}
 				tracker := balance.NewTracker()
 				if kind != "none" {
-					tracker.SetPaces(paces)
+					tracker.SetSlownessSource(paces)
 				}
 				picker := balance.NewPicker(tracker)
 				request := balance.Request{Model: "m", MemoryTokens: 1000, Affinity: 7, Tokens: typicalTokens}
--- a/brittle/slots.go
+++ b/brittle/slots.go
@@ -18,8 +18,8 @@
 // request does not return it. Units that are not returned recover at a rate that causes few refusals. Slots are counted in
 // this way only if there are more daemons than slots. Otherwise Admit gives each daemon slots of its own, without requests
 // to other daemons.
-func (b *Book) SlotLimit(name string, slots, daemons int) (limit quota.Limit, counted bool) {
-	svc := b.services[name]
+func (t *Tracker) SlotLimit(name string, slots, daemons int) (limit quota.Limit, counted bool) {
+	svc := t.services[name]
 	if svc == nil || slots <= 0 || daemons <= slots {
 		return quota.Limit{}, false
 	}
--- a/brittle/tracker.go
+++ b/brittle/tracker.go
@@ -1,5 +1,5 @@
 // Package brittle controls the admission of requests to brittle instances: instances that fail if they have to refuse
-// too many requests because all their slots are in use. Services report in their answers that they are brittle. A Book
+// too many requests because all their slots are in use. Services report in their answers that they are brittle. A Tracker
 // tracks these services, and decides from the loads that are known to this daemon whether an instance has a free slot for
 // another request. The package does no I/O and reads no clock.
 //
@@ -26,8 +26,8 @@
 	serviceTTL = time.Minute
 )
 
-// Book tracks the services that report that they are brittle. It is not safe for concurrent use.
-type Book struct {
+// Tracker tracks the services that report that they are brittle. It is not safe for concurrent use.
+type Tracker struct {
 	services map[string]*service
 	// endedAt is the send time of the request whose answer said that a service is no longer brittle, by service.
 	endedAt map[string]time.Time
@@ -45,9 +45,9 @@
 	shareUsedUntil map[string]time.Time
 }
 
-// NewBook returns a book in which no service is brittle.
-func NewBook() *Book {
-	return &Book{services: map[string]*service{}, endedAt: map[string]time.Time{}}
+// NewTracker returns a tracker in which no service is brittle.
+func NewTracker() *Tracker {
+	return &Tracker{services: map[string]*service{}, endedAt: map[string]time.Time{}}
 }
 
 // Change is the effect of a report on a service.
@@ -55,34 +55,34 @@
 
 // Changes of a service.
 const (
-	Nothing Change = iota
-	// Begins means that its instances are now brittle, or tolerate another number of refusals than before.
-	Begins
-	// Ends means that its instances are no longer brittle.
-	Ends
+	Unchanged Change = iota
+	// Started means that its instances are now brittle, or tolerate another number of refusals than before.
+	Started
+	// Ended means that its instances are no longer brittle.
+	Ended
 )
 
-// Hear observes an answer to a request that was sent at sentAt. The answer reports whether the service is brittle (named),
+// Observe observes an answer to a request that was sent at sentAt. The answer reports whether the service is brittle (named),
 // and how many refusals a second an instance tolerates.
-func (b *Book) Hear(now time.Time, name string, sentAt time.Time, named bool, refusals float64) Change {
-	svc := b.services[name]
+func (t *Tracker) Observe(now time.Time, name string, sentAt time.Time, named bool, refusals float64) Change {
+	svc := t.services[name]
 	switch {
 	case !named && (svc == nil || !sentAt.After(svc.firstReportAt)):
-		return Nothing
+		return Unchanged
 	case !named:
-		delete(b.services, name)
-		b.endedAt[name] = sentAt
-		return Ends
+		delete(t.services, name)
+		t.endedAt[name] = sentAt
+		return Ended
 	case svc == nil:
-		b.services[name] = &service{refusals: refusals, firstReportAt: now, lastReportAt: now, shareUsedUntil: map[string]time.Time{}}
-		return Begins
+		t.services[name] = &service{refusals: refusals, firstReportAt: now, lastReportAt: now, shareUsedUntil: map[string]time.Time{}}
+		return Started
 	}
 	svc.lastReportAt = now
 	if svc.refusals == refusals {
-		return Nothing
+		return Unchanged
 	}
 	svc.refusals = refusals
-	return Begins
+	return Started
 }
 
 // Load is the load of one instance as known to this daemon.
@@ -97,8 +97,8 @@
 }
 
 // Admit reports whether this daemon may send another request to an instance of a service.
-func (b *Book) Admit(now time.Time, name, id string, load Load) bool {
-	svc := b.services[name]
+func (t *Tracker) Admit(now time.Time, name, id string, load Load) bool {
+	svc := t.services[name]
 	switch {
 	case svc == nil || load.Slots <= 0:
 		return true
@@ -110,9 +110,9 @@
 	return load.Requests < free || load.Own < load.Slots/daemons
 }
 
-// TurnedAway records that an instance refused a request because it had no free slot.
-func (b *Book) TurnedAway(now time.Time, name, id string, daemons int) {
-	svc := b.services[name]
+// RecordRefusal records that an instance refused a request because it had no free slot.
+func (t *Tracker) RecordRefusal(now time.Time, name, id string, daemons int) {
+	svc := t.services[name]
 	if svc == nil {
 		return
 	}
@@ -150,17 +150,17 @@
 }
 
 // Names returns the services that are brittle, in no particular order.
-func (b *Book) Names() []string { return slices.Collect(maps.Keys(b.services)) }
+func (t *Tracker) Names() []string { return slices.Collect(maps.Keys(t.services)) }
 
-// Services returns the number of brittle services.
-func (b *Book) Services() int { return len(b.services) }
+// Count returns the number of brittle services.
+func (t *Tracker) Count() int { return len(t.services) }
 
-// Forget removes services without a report within serviceTTL, and instances that are no longer listed.
-func (b *Book) Forget(now time.Time, listed func(id string) bool) {
-	maps.DeleteFunc(b.endedAt, func(_ string, at time.Time) bool { return now.Sub(at) > serviceTTL })
-	for name, svc := range b.services {
+// Prune removes services without a report within serviceTTL, and instances that are no longer listed.
+func (t *Tracker) Prune(now time.Time, listed func(id string) bool) {
+	maps.DeleteFunc(t.endedAt, func(_ string, at time.Time) bool { return now.Sub(at) > serviceTTL })
+	for name, svc := range t.services {
 		if now.Sub(svc.lastReportAt) > serviceTTL {
-			delete(b.services, name)
+			delete(t.services, name)
 			continue
 		}
 		for id, shareUsedUntil := range svc.shareUsedUntil {
--- a/brittle/tracker_test.go
+++ b/brittle/tracker_test.go
@@ -16,33 +16,33 @@
 
 // TestServicesAreBrittleAsLongAsTheySaySo covers answers that arrive out of order, and services that stop answering.
 func TestServicesAreBrittleAsLongAsTheySaySo(t *testing.T) {
-	book := brittle.NewBook()
+	tracker := brittle.NewTracker()
 	steps := []struct {
 		now, sentAt int
 		named       bool
 		refusals    float64
 		want        brittle.Change
 	}{
-		{0, 0, false, 0, brittle.Nothing},
-		{100, 50, true, 4, brittle.Begins},
-		{150, 60, true, 4, brittle.Nothing},
-		{200, 90, false, 0, brittle.Nothing},
-		{300, 250, true, 2, brittle.Begins},
-		{400, 350, false, 0, brittle.Ends},
-		{500, 450, false, 0, brittle.Nothing},
+		{0, 0, false, 0, brittle.Unchanged},
+		{100, 50, true, 4, brittle.Started},
+		{150, 60, true, 4, brittle.Unchanged},
+		{200, 90, false, 0, brittle.Unchanged},
+		{300, 250, true, 2, brittle.Started},
+		{400, 350, false, 0, brittle.Ended},
+		{500, 450, false, 0, brittle.Unchanged},
 	}
 	for number, step := range steps {
-		if got := book.Hear(at(step.now), "s", at(step.sentAt), step.named, step.refusals); got != step.want {
+		if got := tracker.Observe(at(step.now), "s", at(step.sentAt), step.named, step.refusals); got != step.want {
 			t.Errorf("step %d: %d, want %d", number, got, step.want)
 		}
 	}
-	book.Hear(at(1000), "s", at(900), true, 4)
-	book.Forget(at(2000), func(string) bool { return true })
-	if book.Services() != 1 {
+	tracker.Observe(at(1000), "s", at(900), true, 4)
+	tracker.Prune(at(2000), func(string) bool { return true })
+	if tracker.Count() != 1 {
 		t.Error("removed before its TTL")
 	}
-	book.Forget(at(100000), func(string) bool { return true })
-	if book.Services() != 0 {
+	tracker.Prune(at(100000), func(string) bool { return true })
+	if tracker.Count() != 0 {
 		t.Error("not removed after its TTL")
 	}
 }
@@ -66,12 +66,12 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			book := brittle.NewBook()
-			if !book.Admit(at(0), "s", "i", c.load) {
+			tracker := brittle.NewTracker()
+			if !tracker.Admit(at(0), "s", "i", c.load) {
 				t.Error("not admitted to a service that is not brittle")
 			}
-			book.Hear(at(0), "s", at(0), true, 0)
-			if got := book.Admit(at(0), "s", "i", c.load); got != c.want {
+			tracker.Observe(at(0), "s", at(0), true, 0)
+			if got := tracker.Admit(at(0), "s", "i", c.load); got != c.want {
 				t.Errorf("admitted: %t", got)
 			}
 		})
@@ -95,28 +95,28 @@
 		{0, 2, 1, 20 * time.Second},
 	}
 	for _, c := range cases {
-		book := brittle.NewBook()
-		book.Hear(at(0), "s", at(0), true, c.refusals)
+		tracker := brittle.NewTracker()
+		tracker.Observe(at(0), "s", at(0), true, c.refusals)
 		idle := brittle.Load{Slots: 8, Daemons: c.daemons}
 		refused := 0
-		for book.Admit(at(0), "s", "i", idle) && refused < 50 {
-			book.TurnedAway(at(0), "s", "i", c.daemons)
+		for tracker.Admit(at(0), "s", "i", idle) && refused < 50 {
+			tracker.RecordRefusal(at(0), "s", "i", c.daemons)
 			refused++
 		}
 		backoff := time.Duration(0)
-		for !book.Admit(at(0).Add(backoff), "s", "i", idle) {
+		for !tracker.Admit(at(0).Add(backoff), "s", "i", idle) {
 			backoff += 10 * time.Millisecond
 		}
 		if refused != c.maxRefused || backoff != c.backoff {
 			t.Errorf("%.0f refusals, %d daemons: %d at once, then backoff of %v; want %d and %v", c.refusals, c.daemons, refused, backoff, c.maxRefused, c.backoff)
 		}
-		if !book.Admit(at(0), "s", "other", idle) {
+		if !tracker.Admit(at(0), "s", "other", idle) {
 			t.Error("not admitted to another instance")
 		}
 	}
 }
 
-// fleetSimulation simulates many daemons, each with a book, that send requests to one instance in virtual time.
+// fleetSimulation simulates many daemons, each with a tracker, that send requests to one instance in virtual time.
 type fleetSimulation struct {
 	daemons int
 	// reportDelay is the delay after which the daemons have received each other's requests, work how long a request runs.
@@ -142,13 +142,13 @@
 // so that it does not mask the next one.
 func (f *fleetSimulation) run(seed uint64) (served float64, failures int) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	books := make([]*brittle.Book, f.daemons)
+	books := make([]*brittle.Tracker, f.daemons)
 	for i := range books {
-		books[i] = brittle.NewBook()
-		books[i].Hear(at(0), "s", at(0), true, fleetRefusals)
+		books[i] = brittle.NewTracker()
+		books[i].Observe(at(0), "s", at(0), true, fleetRefusals)
 	}
 	limit, _ := books[0].SlotLimit("s", fleetSlots, fleetSlots+1)
-	owner := quota.NewKeeperFrom(func(string) float64 { return limit.Burst })
+	owner := quota.NewBucketsWithLevel(func(string) float64 { return limit.Burst })
 	members := quota.NewFleet("owner", []member.Member{{Name: "owner", State: member.Alive}}, 0, time.Minute)
 	type end struct{ at, daemon int }
 	var ends []end
@@ -167,7 +167,7 @@
 		moment := at(0).Add(time.Duration(now) * fleetStep)
 		for len(returns) > 0 && returns[0] <= now {
 			returns = returns[1:]
-			owner.Return(moment, members, "i", &limit, 1)
+			owner.Refund(moment, members, "i", &limit, 1)
 		}
 		history = append(history, running)
 		reported := history[max(0, now-int(f.reportDelay/fleetStep))]
@@ -191,7 +191,7 @@
 				own[daemon]++
 				ends = append(ends, end{now + int(f.work/fleetStep), daemon})
 			default:
-				books[daemon].TurnedAway(moment, "s", "i", f.daemons)
+				books[daemon].RecordRefusal(moment, "s", "i", f.daemons)
 				for refusals = append(refusals, now); now-refusals[0] > int(time.Second/fleetStep); {
 					refusals = refusals[1:]
 				}
--- a/brittle/update_test.go
+++ b/brittle/update_test.go
@@ -9,45 +9,45 @@
 // reports that circulate forever or take effect again after the end.
 func TestWordsOfOthers(t *testing.T) {
 	start := time.Unix(1e9, 0)
-	b := NewBook()
-	report := Word{Service: "s", Named: true, Refusals: 4, Age: time.Second}
-	if b.Learn(start, report) != Begins || b.Services() != 1 {
+	b := NewTracker()
+	report := Entry{Service: "s", Named: true, Refusals: 4, Age: time.Second}
+	if b.Merge(start, report) != Started || b.Count() != 1 {
 		t.Fatal("the report is not merged")
 	}
-	if b.Learn(start, report) != Nothing {
+	if b.Merge(start, report) != Unchanged {
 		t.Error("the same report is new again")
 	}
 	changed := report
 	changed.Refusals, changed.Age = 6, 0
-	if b.Learn(start, changed) != Begins {
+	if b.Merge(start, changed) != Started {
 		t.Error("another number of refusals is ignored")
 	}
-	if update := b.Newest(start.Add(3 * time.Second)); len(update.Words) != 1 || update.Words[0].Refusals != 6 || update.Words[0].Age != 3*time.Second {
+	if update := b.Snapshot(start.Add(3 * time.Second)); len(update.Entries) != 1 || update.Entries[0].Refusals != 6 || update.Entries[0].Age != 3*time.Second {
 		t.Errorf("snapshot %+v", update)
 	}
 	// An answer to a later request of this daemon reports the end.
 	ended := start.Add(5 * time.Second)
-	if b.Hear(ended, "s", ended, false, 0) != Ends {
+	if b.Observe(ended, "s", ended, false, 0) != Ended {
 		t.Fatal("the service is still brittle")
 	}
-	if b.Learn(ended.Add(time.Second), Word{Service: "s", Named: true, Refusals: 6, Age: 3 * time.Second}) != Nothing {
+	if b.Merge(ended.Add(time.Second), Entry{Service: "s", Named: true, Refusals: 6, Age: 3 * time.Second}) != Unchanged {
 		t.Error("a report from before the end makes the service brittle again")
 	}
-	if b.Learn(ended.Add(time.Second), Word{Service: "s", Named: true, Refusals: 6}) != Begins {
+	if b.Merge(ended.Add(time.Second), Entry{Service: "s", Named: true, Refusals: 6}) != Started {
 		t.Error("a later report does not make the service brittle again")
 	}
-	if b.Learn(ended.Add(2*time.Second), Word{Service: "s"}) != Ends {
+	if b.Merge(ended.Add(2*time.Second), Entry{Service: "s"}) != Ended {
 		t.Error("the end that another daemon reports is not merged")
 	}
-	for _, invalid := range []Word{{Service: "x", Named: true, Age: -time.Second}, {Service: "x", Named: true, Refusals: -1}, {Service: "x", Named: true, Age: time.Hour}} {
-		if b.Learn(ended, invalid) != Nothing {
+	for _, invalid := range []Entry{{Service: "x", Named: true, Age: -time.Second}, {Service: "x", Named: true, Refusals: -1}, {Service: "x", Named: true, Age: time.Hour}} {
+		if b.Merge(ended, invalid) != Unchanged {
 			t.Errorf("merged: %+v", invalid)
 		}
 	}
 	// A report that is not repeated expires on all daemons.
-	b.Learn(start, report)
-	b.Forget(start.Add(serviceTTL), func(string) bool { return true })
-	if b.Services() != 0 {
+	b.Merge(start, report)
+	b.Prune(start.Add(serviceTTL), func(string) bool { return true })
+	if b.Count() != 0 {
 		t.Error("a report circulates forever")
 	}
 }
--- a/control/events.go
+++ b/control/events.go
@@ -26,9 +26,9 @@
 	// ends.
 	Subscribe []string      `msgpack:"s,omitempty"`
 	Demand    []ModelDemand `msgpack:"m,omitempty"`
-	// Ask lists back ends that the receiver polls on behalf of the sender. The sender
+	// PollRequests lists back ends that the receiver polls on behalf of the sender. The sender
 	// acts for them and its own poll failed.
-	Ask []string `msgpack:"a,omitempty"`
+	PollRequests []string `msgpack:"a,omitempty"`
 	// Limit carries a message of the tenants' rate limiter; Sender then names the
 	// sending daemon.
 	Limit  *limiter.Message `msgpack:"i,omitempty"`
--- a/control/fallbackpoll.go
+++ b/control/fallbackpoll.go
@@ -72,7 +72,7 @@
 	others := slices.DeleteFunc(slices.Clone(n.detector.Live()), func(other string) bool { return other == n.detector.Self().Name })
 	n.random.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	for _, other := range others[:min(len(others), n.settings.Member.Helpers)] {
-		n.send(n.address(other), Message{Ask: []string{name}})
+		n.send(n.address(other), Message{PollRequests: []string{name}})
 	}
 }
 
--- a/control/fallbackpoll_test.go
+++ b/control/fallbackpoll_test.go
@@ -72,7 +72,7 @@
 	var polls []control.Poll
 	for end := b.now.Add(span); b.now.Before(end); {
 		if inUse {
-			b.node.Interested(b.now, "m")
+			b.node.RequestReceived(b.now, "m")
 		}
 		for _, action := range tick[control.Action](b.nodeFixture, 100*time.Millisecond) {
 			switch action := action.(type) {
@@ -218,7 +218,7 @@
 func countPollRequests(actions []control.Action) int {
 	count := 0
 	for _, action := range actions {
-		if sent, ok := action.(control.SendPeer); ok && slices.Equal(sent.Message.Ask, []string{"e"}) {
+		if sent, ok := action.(control.SendPeer); ok && slices.Equal(sent.Message.PollRequests, []string{"e"}) {
 			count++
 		}
 	}
@@ -267,7 +267,7 @@
 func TestDaemonPollsForAnother(t *testing.T) {
 	b := newPeerFixture()
 	request := func() []control.Action {
-		return b.send(control.Message{Ask: []string{"e"}, Probe: &member.Message{Kind: member.Ping}})
+		return b.send(control.Message{PollRequests: []string{"e"}, Probe: &member.Message{Kind: member.Ping}})
 	}
 	answers := func(actions []control.Action) (reports, polls int) {
 		for _, action := range actions {
--- a/control/leave.go
+++ b/control/leave.go
@@ -45,7 +45,7 @@
 		}
 		missing = true
 		if due {
-			n.sendProbe(n.detector.Tell(name))
+			n.sendProbe(n.detector.PingFor(name))
 		}
 	}
 	if due {
@@ -61,14 +61,14 @@
 
 // recordLeaveAck records that a member has acknowledged the leaving state.
 func (n *Node) recordLeaveAck(message *member.Message) {
-	if n.leave.leaving && message.Kind == member.Ack && message.KnowsLeaving {
+	if n.leave.leaving && message.Kind == member.Ack && message.LeavingKnown {
 		n.leave.acknowledged[message.Sender.Name] = true
 	}
 }
 
-// LeaveKnownFor returns for how long all live members have acknowledged that this daemon
+// LeaveAcknowledgedFor returns for how long all live members have acknowledged that this daemon
 // is leaving; zero if some have not.
-func (n *Node) LeaveKnownFor(now time.Time) time.Duration {
+func (n *Node) LeaveAcknowledgedFor(now time.Time) time.Duration {
 	if n.leave.acknowledgedSince.IsZero() {
 		return 0
 	}
--- a/control/node.go
+++ b/control/node.go
@@ -134,7 +134,7 @@
 			n.propagateLeaving(now, report.BackEnd)
 		}
 	}
-	for _, name := range message.Ask {
+	for _, name := range message.PollRequests {
 		n.handlePollRequest(now, message.From, name)
 	}
 	for _, load := range message.Loads {
--- a/control/reportdistribution.go
+++ b/control/reportdistribution.go
@@ -145,8 +145,8 @@
 	n.recordLoad(now, state)
 }
 
-// Interested records that this daemon received a request for a model.
-func (n *Node) Interested(now time.Time, model string) {
+// RequestReceived records that this daemon received a request for a model.
+func (n *Node) RequestReceived(now time.Time, model string) {
 	known := n.interest[model]
 	if known == nil {
 		known = &interest{}
--- a/control/writes.go
+++ b/control/writes.go
@@ -154,7 +154,7 @@
 }
 
 func (n *Node) mergeObject(object api.Object) {
-	if object.Version != 0 && n.store.Learn(object) {
+	if object.Version != 0 && n.store.Merge(object) {
 		n.updateCatalog([]api.Key{object.Key})
 	}
 }
@@ -202,7 +202,7 @@
 		return
 	}
 	record, err := api.Decode[api.Placement](reliedOn)
-	if err != nil || !placement.MayRely(record, operation.ReliesOnArtifact) {
+	if err != nil || !placement.CanRelyOn(record, operation.ReliesOnArtifact) {
 		n.logDecision("placement", "Release cancelled; the replica that it relies on may not be relied on.", "back_end", operation.BackEnd, "relies_on", operation.ReliesOn)
 		return
 	}
--- a/coordination/actions.go
+++ b/coordination/actions.go
@@ -28,8 +28,8 @@
 // CallLease calls the store about the lease; LeaseAnswered takes the answer.
 type CallLease struct{ Call lease.Call }
 
-// AskReport requests a report from an instance; ReportAnswered takes the answer.
-type AskReport struct {
+// RequestReport requests a report from an instance; ReportAnswered takes the answer.
+type RequestReport struct {
 	Instance string
 	Address  string
 }
@@ -46,32 +46,32 @@
 	Until time.Time
 }
 
-// LearnCrashes passes the driver another daemon's update on crashed instances.
-type LearnCrashes struct{ Update quarantine.Update }
+// CrashesReceived passes the driver another daemon's update on crashed instances.
+type CrashesReceived struct{ Update quarantine.Update }
 
-// LearnBrittle passes the driver another daemon's update on which services are brittle: their
+// BrittleReceived passes the driver another daemon's update on which services are brittle: their
 // instances fall over if they turn requests away.
-type LearnBrittle struct{ Update brittle.Update }
+type BrittleReceived struct{ Update brittle.Update }
 
-func (LearnBrittle) action() {}
+func (BrittleReceived) action() {}
 
-// LearnNotices passes the driver another daemon's update on the notices that instances gave of
+// NoticesReceived passes the driver another daemon's update on the notices that instances gave of
 // themselves.
-type LearnNotices struct{ Update notice.Update }
+type NoticesReceived struct{ Update notice.Update }
 
-// Decision is an entry for the log.
-type Decision struct {
+// LogEntry is an entry for the log.
+type LogEntry struct {
 	Part   string
 	Text   string
 	Fields []any
 }
 
-func (SendPeer) action()     {}
-func (Broadcast) action()    {}
-func (Refresh) action()      {}
-func (CallLease) action()    {}
-func (AskReport) action()    {}
-func (SendOrder) action()    {}
-func (LearnCrashes) action() {}
-func (LearnNotices) action() {}
-func (Decision) action()     {}
+func (SendPeer) action()        {}
+func (Broadcast) action()       {}
+func (Refresh) action()         {}
+func (CallLease) action()       {}
+func (RequestReport) action()   {}
+func (SendOrder) action()       {}
+func (CrashesReceived) action() {}
+func (NoticesReceived) action() {}
+func (LogEntry) action()        {}
--- a/coordination/catch_up.go
+++ b/coordination/catchup.go
@@ -32,7 +32,7 @@
 // SourceAvailable records whether the store answers this daemon for a collection.
 func (n *Node) SourceAvailable(source Source, available bool) []Action {
 	n.sources[source].unavailable = !available
-	return n.take()
+	return n.takeActions()
 }
 
 func (n *Node) configurationVersion() uint64 {
@@ -42,10 +42,10 @@
 	return n.configuration.Version
 }
 
-// noteVersions records the versions that another daemon reports.
-func (n *Node) noteVersions(now time.Time, from string, versions Versions) {
+// recordPeerVersions records the versions that another daemon reports.
+func (n *Node) recordPeerVersions(now time.Time, from string, versions Versions) {
 	if !versions.Instances.IsZero() {
-		n.learnEra(now, origin(from), versions.Instances.Era)
+		n.recordEra(now, origin(from), versions.Instances.Era)
 	}
 	if !configurationPlace(versions.Configuration).Before(n.sources[SourceConfiguration].newest) {
 		n.sources[SourceConfiguration].routes = versions.Routes
@@ -147,13 +147,13 @@
 }
 
 // routesPerQueryInterval is the number of routes that lengthens the interval between two requests by
-// one more AskPause.
+// one more RequestInterval.
 const routesPerQueryInterval = 128
 
 // queryInterval is the minimum interval between two requests to another daemon. A large response takes
 // time to transfer, and a second one would only delay it.
 func (n *Node) queryInterval(state *sourceState) time.Duration {
-	return n.settings.AskPause * time.Duration(1+state.routes/routesPerQueryInterval)
+	return n.settings.RequestInterval * time.Duration(1+state.routes/routesPerQueryInterval)
 }
 
 // catchUp refreshes a collection from the store, or requests it from another daemon.
@@ -161,23 +161,23 @@
 	catchesUpFromStore := n.catchesUpFromStore(now, state)
 	interval, delay := n.queryInterval(state), time.Duration(0)
 	if catchesUpFromStore {
-		interval, delay = minRefreshInterval, n.settings.RefreshAfter
+		interval, delay = minRefreshInterval, n.settings.RefreshDelay
 	}
 	if now.Sub(state.behindSince) < delay || now.Sub(state.lastAttemptAt) < interval {
 		return
 	}
 	state.lastAttemptAt = now
 	if catchesUpFromStore || state.unavailable {
-		n.decide(string(source), "Version older than another daemon's; refreshing from the store.", "own", n.ownVersion(source), "other", state.newest, "daemon", state.newestFrom,
+		n.logEntry(string(source), "Version older than another daemon's; refreshing from the store.", "own", n.ownVersion(source), "other", state.newest, "daemon", state.newestFrom,
 			"store_available", !state.unavailable)
-		n.do(Refresh{Source: source})
+		n.enqueue(Refresh{Source: source})
 	}
 	if catchesUpFromStore {
 		return
 	}
 	if other, found := n.detector.Lookup(state.newestFrom); found {
 		request := n.versionsQuery(source)
-		n.do(SendPeer{Address: other.PeerAddress, Message: Message{From: n.self, Ask: &request}})
+		n.enqueue(SendPeer{Address: other.PeerAddress, Message: Message{From: n.self, Request: &request}})
 	}
 }
 
@@ -216,7 +216,7 @@
 // first, or if no watcher was reachable recently. A daemon that has just started first waits for
 // updates from the others. It already has a list, and can start to watch from there a moment later.
 func (n *Node) Watching(now time.Time) bool {
-	if now.Sub(n.started) < n.settings.WatchAfter {
+	if now.Sub(n.started) < n.settings.WatchDelay {
 		return false
 	}
 	return n.Rank() < n.settings.Watchers || now.Before(n.watchUntil)
@@ -225,7 +225,7 @@
 // tickWatching makes this daemon watch the store for a while if no watcher has been reachable.
 func (n *Node) tickWatching(now time.Time) {
 	rank := n.Rank()
-	if rank < n.settings.Watchers || now.Sub(n.watcherAt) <= n.settings.WatcherSilence+n.substituteDelay(rank) {
+	if rank < n.settings.Watchers || now.Sub(n.watcherSeenAt) <= n.settings.WatcherTimeout+n.substituteDelay(rank) {
 		return
 	}
 	if now.Before(n.watchUntil) || n.shouldSubstitute(now) {
@@ -248,7 +248,7 @@
 	if n.countStoreAway(now) < n.settings.Watchers+substitutesPerBatch {
 		return true
 	}
-	drawsPerAttempt := float64(len(n.detector.Live())) * float64(time.Second) / float64(TickEvery)
+	drawsPerAttempt := float64(len(n.detector.Live())) * float64(time.Second) / float64(TickInterval)
 	return n.random.Float64() < 1/drawsPerAttempt
 }
 
@@ -264,36 +264,36 @@
 func (n *Node) countStoreAway(now time.Time) int {
 	count := 0
 	for _, peer := range n.peers {
-		if peer.load.StoreAway && now.Sub(peer.at) <= storeAwayTTL {
+		if peer.load.StoreUnavailable && now.Sub(peer.at) <= storeAwayTTL {
 			count++
 		}
 	}
 	return count
 }
 
-// OthersAway reports whether another daemon recently reported that the store does not answer it.
-func (n *Node) OthersAway(now time.Time) bool { return n.countStoreAway(now) > 0 }
+// PeersWithoutStore reports whether another daemon recently reported that the store does not answer it.
+func (n *Node) PeersWithoutStore(now time.Time) bool { return n.countStoreAway(now) > 0 }
 
 // storeAwayTTL is how long such a report counts. In a large fleet each daemon sends its state to some
 // others five times a second. Within this time a daemon receives updates from most others.
 const storeAwayTTL = 4 * time.Second
 
-// hearOfWatcher records that another daemon watches the store, or has received an update from a
+// recordWatcher records that another daemon watches the store, or has received an update from a
 // watcher. In a large fleet most daemons seldom receive updates from a watcher directly. Second-hand
 // reports are not forwarded, so they cannot circulate for ever.
-func (n *Node) hearOfWatcher(now time.Time, load *Load) {
+func (n *Node) recordWatcher(now time.Time, load *Load) {
 	switch {
-	case load.Watching && !load.StoreAway:
-		n.watcherAt, n.watcherHeardAt = now, now
-	case load.Watched > 0 && now.Add(-load.Watched).After(n.watcherAt):
-		n.watcherAt = now.Add(-load.Watched)
+	case load.Watching && !load.StoreUnavailable:
+		n.watcherSeenAt, n.watcherReceivedAt = now, now
+	case load.WatcherAge > 0 && now.Add(-load.WatcherAge).After(n.watcherSeenAt):
+		n.watcherSeenAt = now.Add(-load.WatcherAge)
 	}
 }
 
-// watched returns how long ago this daemon received an update from a watcher, as reported to other
+// watcherAge returns how long ago this daemon received an update from a watcher, as reported to other
 // daemons; zero if that is too long ago.
-func (n *Node) watched(now time.Time) time.Duration {
-	if age := now.Sub(n.watcherHeardAt); age <= n.settings.WatcherSilence {
+func (n *Node) watcherAge(now time.Time) time.Duration {
+	if age := now.Sub(n.watcherReceivedAt); age <= n.settings.WatcherTimeout {
 		return max(age, time.Nanosecond)
 	}
 	return 0
@@ -305,8 +305,8 @@
 	return n.ownVersion(source).After(place) || n.sources[source].firstList.After(place)
 }
 
-// answerAsk sends another daemon the data that it lacks.
-func (n *Node) answerAsk(from string, request Versions) {
+// answerRequest sends another daemon the data that it lacks.
+func (n *Node) answerRequest(from string, request Versions) {
 	other, found := n.detector.Lookup(from)
 	if !found {
 		return
@@ -315,13 +315,13 @@
 	if n.configurationVersion() > request.Configuration {
 		answer.Configuration = n.configuration
 	}
-	if n.instances.Known() && n.hasChangesSince(SourceInstances, request.Instances) {
+	if n.instances.Synced() && n.hasChangesSince(SourceInstances, request.Instances) {
 		answer.Instances = n.listing(request.Instances)
 	}
-	if n.evacuations.Known() && n.hasChangesSince(SourceEvacuations, request.Evacuations) {
+	if n.evacuations.Synced() && n.hasChangesSince(SourceEvacuations, request.Evacuations) {
 		answer.Evacuations = n.evacuationListing()
 	}
-	n.do(SendPeer{Address: other.PeerAddress, Message: answer})
+	n.enqueue(SendPeer{Address: other.PeerAddress, Message: answer})
 }
 
 // listing returns the changes after a place, or everything if the changes are no longer kept.
@@ -332,7 +332,7 @@
 		items = n.instances.Items()
 	}
 	listing := &Listing{
-		At: n.instances.At(), Until: n.instances.Until(), Since: changes.After, Changes: available, PassedOver: changes.PassedOver,
+		At: n.instances.At(), ListedUntil: n.instances.ListedUntil(), Since: changes.After, Changes: available, HasGaps: changes.HasGaps,
 	}
 	for _, item := range items {
 		if item.Place.Era < listing.At.Era {
@@ -346,16 +346,16 @@
 		} else {
 			listed.Value = *item.Value
 			// This includes daemons that have just started.
-			listed.Value.Leaving = listed.Value.Leaving || n.departures.leaving(item.Name)
+			listed.Value.Leaving = listed.Value.Leaving || n.departureTracker.leaving(item.Name)
 		}
 		listing.Items = append(listing.Items, listed)
 	}
 	return listing
 }
 
-// takeListing merges the instances that another daemon sent.
-func (n *Node) takeListing(now time.Time, from origin, listing *Listing) {
-	batch := feed.Batch[*fleet.Instance]{At: listing.At, Until: listing.Until}
+// mergeListing merges the instances that another daemon sent.
+func (n *Node) mergeListing(now time.Time, from origin, listing *Listing) {
+	batch := feed.Batch[*fleet.Instance]{At: listing.At, ListedUntil: listing.ListedUntil}
 	for i := range listing.Items {
 		item := &listing.Items[i]
 		merged := feed.Item[*fleet.Instance]{Name: item.Value.ID, Place: item.Place, Gone: item.Gone}
@@ -365,7 +365,7 @@
 		batch.Items = append(batch.Items, merged)
 	}
 	if listing.Changes {
-		changes := feed.Changes[*fleet.Instance]{Batch: batch, After: listing.Since, PassedOver: listing.PassedOver}
+		changes := feed.Changes[*fleet.Instance]{Batch: batch, After: listing.Since, HasGaps: listing.HasGaps}
 		n.instancesChanged(now, from, n.instances.Merge(changes), false)
 		return
 	}
--- a/coordination/change_log.go
+++ b/coordination/changelog.go
@@ -25,8 +25,8 @@
 // originStore is the origin of changes that this daemon read from the store itself.
 const originStore origin = "store"
 
-// newsList collects the changes of one kind for the log.
-type newsList struct {
+// changeList collects the changes of one kind for the log.
+type changeList struct {
 	part string
 	// groups hold the names by their new state, in the order in which the states first occurred.
 	groups  []nameGroup
@@ -42,7 +42,7 @@
 	names []string
 }
 
-func (l *newsList) add(now time.Time, state, name string) {
+func (l *changeList) add(now time.Time, state, name string) {
 	if l.count == 0 {
 		l.since = now
 	}
@@ -56,19 +56,19 @@
 	l.groups = append(l.groups, nameGroup{state: state, names: []string{name}})
 }
 
-func (l *newsList) addOrigin(from origin) {
+func (l *changeList) addOrigin(from origin) {
 	if !slices.Contains(l.origins, string(from)) {
 		l.origins = append(l.origins, string(from))
 	}
 }
 
 // due reports whether a line must be written now.
-func (l *newsList) due(now time.Time) bool {
+func (l *changeList) due(now time.Time) bool {
 	return l.count > 0 && now.Sub(l.loggedAt) >= minLineInterval
 }
 
 // take returns the log fields with the names so far, and empties the list.
-func (l *newsList) take(now time.Time) []any {
+func (l *changeList) take(now time.Time) []any {
 	fields := []any{"count", l.count, "over_ms", now.Sub(l.since).Milliseconds()}
 	if len(l.origins) > 0 {
 		fields = append(fields, "from", strings.Join(l.origins, ","))
@@ -76,41 +76,41 @@
 	for _, group := range l.groups {
 		fields = append(fields, group.state, strings.Join(group.names, ","))
 	}
-	*l = newsList{part: l.part, loggedAt: now}
+	*l = changeList{part: l.part, loggedAt: now}
 	return fields
 }
 
 // logChanges writes one line with the contents of a list.
-func (n *Node) logChanges(now time.Time, list *newsList) {
-	n.decide(list.part, "Changed.", list.take(now)...)
+func (n *Node) logChanges(now time.Time, list *changeList) {
+	n.logEntry(list.part, "Changed.", list.take(now)...)
 }
 
-// addNews adds a name to a list, and writes a line if the list is full.
-func (n *Node) addNews(now time.Time, list *newsList, state, name string) {
+// addChange adds a name to a list, and writes a line if the list is full.
+func (n *Node) addChange(now time.Time, list *changeList, state, name string) {
 	list.add(now, state, name)
 	if list.count == maxNamesPerLine {
 		n.logChanges(now, list)
 	}
 }
 
-// logDueNews writes the lines that are due.
-func (n *Node) logDueNews(now time.Time) {
-	for _, list := range []*newsList{&n.memberNews, &n.instanceNews} {
+// logDueChanges writes the lines that are due.
+func (n *Node) logDueChanges(now time.Time) {
+	for _, list := range []*changeList{&n.memberChanges, &n.instanceChanges} {
 		if list.due(now) {
 			n.logChanges(now, list)
 		}
 	}
 }
 
-// noteInstances records the changes of instances and their origins for the log. Each name is followed
+// recordInstanceChanges records the changes of instances and their origins for the log. Each name is followed
 // by the place of its change.
-func (n *Node) noteInstances(now time.Time, from origin, changed []feed.Item[*fleet.Instance]) {
-	list := &n.instanceNews
+func (n *Node) recordInstanceChanges(now time.Time, from origin, changed []feed.Item[*fleet.Instance]) {
+	list := &n.instanceChanges
 	for _, item := range changed {
 		list.addOrigin(from)
-		n.addNews(now, list, instanceState(item), item.Name+"@"+item.Place.String())
+		n.addChange(now, list, instanceState(item), item.Name+"@"+item.Place.String())
 	}
-	n.logDueNews(now)
+	n.logDueChanges(now)
 }
 
 func instanceState(item feed.Item[*fleet.Instance]) string {
--- a/coordination/cold_instances.go
+++ b/coordination/coldinstances.go
@@ -6,19 +6,19 @@
 	"github.com/wheatweir/wheatweir/fleet"
 )
 
-// LearnCold makes the driver limit the requests to a cold instance. A cold instance has just started and bears few
+// InstanceCold makes the driver limit the requests to a cold instance. A cold instance has just started and bears few
 // requests: for the duration Left, all daemons together may send it at most PerSecond requests per
 // second.
-type LearnCold struct {
+type InstanceCold struct {
 	Instance  string
 	PerSecond float64
-	Left      time.Duration
+	Remaining time.Duration
 }
 
-func (LearnCold) action() {}
+func (InstanceCold) action() {}
 
-// noteCold processes the remaining time for which an instance declares itself cold.
-func (n *Node) noteCold(instance *fleet.Instance) {
+// processCold processes the remaining time for which an instance declares itself cold.
+func (n *Node) processCold(instance *fleet.Instance) {
 	if instance.ColdLeft > 0 {
 		n.reportCold(instance, instance.ColdLeft)
 	}
@@ -37,14 +37,14 @@
 	if service == nil || service.ColdPerSecond <= 0 {
 		return
 	}
-	n.do(LearnCold{Instance: instance.ID, PerSecond: service.ColdPerSecond, Left: left})
+	n.enqueue(InstanceCold{Instance: instance.ID, PerSecond: service.ColdPerSecond, Remaining: left})
 }
 
-// noteAllCold processes the cold instances again when a configuration is received, since the
+// processAllCold processes the cold instances again when a configuration is received, since the
 // configuration says how much load they bear. Their entries may have been received earlier.
-func (n *Node) noteAllCold() {
+func (n *Node) processAllCold() {
 	for _, item := range n.instances.Items() {
-		n.noteCold(item.Value)
+		n.processCold(item.Value)
 	}
 }
 
--- a/coordination/configuration_freshness.go
+++ b/coordination/configurationfreshness.go
@@ -9,11 +9,11 @@
 	"github.com/wheatweir/wheatweir/member"
 )
 
-// assurance holds the moment for which this daemon's configuration is proven to be the newest. A silent
+// freshnessState holds the moment for which this daemon's configuration is proven to be the newest. A silent
 // watch proves nothing, and neither does a list that may be stale. A linearizable read of the store
 // proves it for the moment at which the read began. A response of another daemon proves it for the
 // moment of the request, less the age that the response reports. No clocks are compared.
-type assurance struct {
+type freshnessState struct {
 	// at is that moment on this daemon's monotonic clock; zero if nothing is proven.
 	at time.Time
 	// confirmedVersion is a newer version that another daemon confirmed, and confirmedAt the moment for
@@ -38,21 +38,21 @@
 	awaitingAnswer bool
 }
 
-// AskAssurance requests from another daemon the moment for which its configuration is proven to be the
+// FreshnessRequest requests from another daemon the moment for which its configuration is proven to be the
 // newest.
-type AskAssurance struct {
+type FreshnessRequest struct {
 	Sequence uint64 `msgpack:"n"`
 }
 
-// Assurance is the response: Version was the newest one Age before the response was sent.
-type Assurance struct {
+// FreshnessResponse is the response: Version was the newest one Age before the response was sent.
+type FreshnessResponse struct {
 	Sequence uint64        `msgpack:"n"`
 	Version  uint64        `msgpack:"v"`
 	Age      time.Duration `msgpack:"a"`
 }
 
 // ReadConfiguration makes the driver read the newest configuration from the store. The driver passes
-// the result to ConfigurationRead or ConfigurationNotRead.
+// the result to ConfigurationRead or ConfigurationReadFailed.
 type ReadConfiguration struct{}
 
 func (ReadConfiguration) action() {}
@@ -87,32 +87,32 @@
 	directQueryExponent = 0.5
 )
 
-// SureSince returns the moment for which the configuration is proven to be the newest, on this daemon's
+// ProvenSince returns the moment for which the configuration is proven to be the newest, on this daemon's
 // monotonic clock; zero if nothing is proven.
-func (n *Node) SureSince() time.Time { return n.assured.at }
+func (n *Node) ProvenSince() time.Time { return n.freshness.at }
 
 // revokeFraction returns a fraction of the time within which a revoked key must stop working.
 func (n *Node) revokeFraction(revokeFraction float64) time.Duration {
 	return time.Duration(revokeFraction * float64(n.settings.RevokeWithin))
 }
 
-// tickAssurance keeps the proof recent that the configuration is the newest. The daemon of rank zero
+// tickFreshness keeps the proof recent that the configuration is the newest. The daemon of rank zero
 // reads the store, some daemons query it, and the others query those.
-func (n *Node) tickAssurance(now time.Time) {
+func (n *Node) tickFreshness(now time.Time) {
 	if n.settings.RevokeWithin == 0 {
 		return
 	}
 	if n.readDue(now) {
-		n.assured.reading, n.assured.readAt = true, now
-		n.do(ReadConfiguration{})
+		n.freshness.reading, n.freshness.readAt = true, now
+		n.enqueue(ReadConfiguration{})
 	}
 	if n.queryDue(now) {
-		n.queryAssurance(now)
+		n.queryFreshness(now)
 	}
 }
 
 func (n *Node) readDue(now time.Time) bool {
-	state := &n.assured
+	state := &n.freshness
 	interval, sinceRead := n.revokeFraction(readIntervalRatio), now.Sub(state.readAt)
 	if state.reading || sinceRead < interval {
 		return false
@@ -131,7 +131,7 @@
 	default:
 		// On average two of these daemons read per interval, chosen at random. Each daemon draws at
 		// every tick.
-		drawsPerRead := float64(n.detector.LiveCount()) * float64(interval) / float64(2*TickEvery)
+		drawsPerRead := float64(n.detector.LiveCount()) * float64(interval) / float64(2*TickInterval)
 		return n.random.Float64() < 1/math.Max(1, drawsPerRead)
 	}
 }
@@ -144,7 +144,7 @@
 
 // queryDue reports whether this daemon should query another one now.
 func (n *Node) queryDue(now time.Time) bool {
-	state := &n.assured
+	state := &n.freshness
 	if state.awaitingAnswer && now.Sub(state.queriedAt) < n.revokeFraction(queryTimeoutRatio) {
 		return false
 	}
@@ -154,13 +154,13 @@
 	return state.awaitingAnswer || now.Sub(state.queriedAt) >= n.revokeFraction(queryIntervalRatio)
 }
 
-// queryAssurance queries a daemon that is one hop nearer to the store. After a request without a
+// queryFreshness queries a daemon that is one hop nearer to the store. After a request without a
 // response it queries any other daemon.
-func (n *Node) queryAssurance(now time.Time) {
-	state := &n.assured
+func (n *Node) queryFreshness(now time.Time) {
+	state := &n.freshness
 	unanswered := state.awaitingAnswer
 	old := now.Sub(state.at) >= n.substituteAge(0) && n.random.IntN(4) == 0
-	if name := n.pickAssurancePeer(unanswered || old); name != "" {
+	if name := n.pickFreshnessPeer(unanswered || old); name != "" {
 		n.queryAssuranceOf(now, name)
 	} else {
 		state.awaitingAnswer = false
@@ -168,16 +168,16 @@
 }
 
 func (n *Node) queryAssuranceOf(now time.Time, name string) {
-	state := &n.assured
+	state := &n.freshness
 	state.queriedAt = now
 	state.sequence++
 	state.awaitingAnswer = true
-	n.sendAll([]string{name}, Message{From: n.self, AskAssurance: &AskAssurance{Sequence: state.sequence}})
+	n.sendAll([]string{name}, Message{From: n.self, FreshnessRequest: &FreshnessRequest{Sequence: state.sequence}})
 }
 
-// pickAssurancePeer picks the daemon to query at random. The first ranks query the reader, the others
+// pickFreshnessPeer picks the daemon to query at random. The first ranks query the reader, the others
 // one of the first ranks. With anyOne set, any daemon may be picked.
-func (n *Node) pickAssurancePeer(anyOne bool) string {
+func (n *Node) pickFreshnessPeer(anyOne bool) string {
 	order := n.liveOrder()
 	rank := slices.Index(order, n.self)
 	directQueries := directQueryCount(len(order))
@@ -210,41 +210,41 @@
 // liveOrder lists the live daemons in the order of their ranks.
 func (n *Node) liveOrder() []string {
 	revision := n.MembersRevision()
-	if n.order != nil && revision == n.orderAt {
-		return n.order
+	if n.rankedLive != nil && revision == n.rankedRevision {
+		return n.rankedLive
 	}
-	n.order, n.orderAt = nil, revision
+	n.rankedLive, n.rankedRevision = nil, revision
 	for _, known := range member.Ranked(n.detector.LiveMembers(), rankSalt) {
-		n.order = append(n.order, known.Name)
+		n.rankedLive = append(n.rankedLive, known.Name)
 	}
-	return n.order
+	return n.rankedLive
 }
 
-// answerAssurance sends another daemon the moment for which the configuration here is proven to be the
+// answerFreshness sends another daemon the moment for which the configuration here is proven to be the
 // newest.
-func (n *Node) answerAssurance(now time.Time, from string, request *AskAssurance) {
-	if n.assured.at.IsZero() {
+func (n *Node) answerFreshness(now time.Time, from string, request *FreshnessRequest) {
+	if n.freshness.at.IsZero() {
 		return
 	}
-	answer := &Assurance{Sequence: request.Sequence, Version: n.configurationVersion(), Age: now.Sub(n.assured.at)}
-	n.sendAll([]string{from}, Message{From: n.self, Assurance: answer})
+	answer := &FreshnessResponse{Sequence: request.Sequence, Version: n.configurationVersion(), Age: now.Sub(n.freshness.at)}
+	n.sendAll([]string{from}, Message{From: n.self, FreshnessResponse: answer})
 }
 
-// takeAssurance processes a response. It was sent after the request, so its moment is at least the
+// recordFreshnessResponse processes a response. It was sent after the request, so its moment is at least the
 // moment of the request less the reported age.
-func (n *Node) takeAssurance(from string, response *Assurance) {
-	state := &n.assured
+func (n *Node) recordFreshnessResponse(from string, response *FreshnessResponse) {
+	state := &n.freshness
 	if !state.awaitingAnswer || response.Sequence != state.sequence || response.Age < 0 {
 		return
 	}
 	state.awaitingAnswer = false
 	n.recordPeerVersion(SourceConfiguration, from, configurationPlace(response.Version))
-	n.recordAssurance(response.Version, state.queriedAt.Add(-response.Age))
+	n.recordFreshness(response.Version, state.queriedAt.Add(-response.Age))
 }
 
-// recordAssurance records that a version was the newest at a moment.
-func (n *Node) recordAssurance(version uint64, at time.Time) {
-	state := &n.assured
+// recordFreshness records that a version was the newest at a moment.
+func (n *Node) recordFreshness(version uint64, at time.Time) {
+	state := &n.freshness
 	switch {
 	case version <= n.configurationVersion():
 		if at.After(state.at) {
@@ -255,12 +255,12 @@
 	}
 }
 
-// assureAhead applies the proof for a confirmed version once that version is in force here.
-func (n *Node) assureAhead() {
-	if state := &n.assured; state.confirmedVersion > 0 && state.confirmedVersion <= n.configurationVersion() {
+// applyConfirmedVersion applies the proof for a confirmed version once that version is in force here.
+func (n *Node) applyConfirmedVersion() {
+	if state := &n.freshness; state.confirmedVersion > 0 && state.confirmedVersion <= n.configurationVersion() {
 		version, at := state.confirmedVersion, state.confirmedAt
 		state.confirmedVersion, state.confirmedAt = 0, time.Time{}
-		n.recordAssurance(version, at)
+		n.recordFreshness(version, at)
 	}
 }
 
@@ -268,7 +268,7 @@
 // reached the store while others did not for some time notifies the daemons that the rest query. The
 // notification proves nothing to them: they send a request in turn.
 func (n *Node) readFinished(begunAt time.Time, version uint64, found bool) {
-	state := &n.assured
+	state := &n.freshness
 	state.reading = false
 	if !found {
 		state.substituteUntil, state.firstSubstituteUntil = time.Time{}, time.Time{}
@@ -276,25 +276,25 @@
 	}
 	substituteDue := !state.at.IsZero() && begunAt.Sub(state.at) >= n.substituteAge(0)
 	substituting := begunAt.Before(state.substituteUntil)
-	n.recordAssurance(version, begunAt)
+	n.recordFreshness(version, begunAt)
 	if substituteDue && n.Rank() > 0 {
 		state.substituteUntil, state.firstSubstituteUntil = begunAt.Add(n.revokeFraction(substituteTermRatio)), begunAt.Add(n.revokeFraction(firstSubstituteTermRatio))
 	}
 	if substituteDue || substituting {
 		order := n.liveOrder()
-		n.sendAll(order[:directQueryCount(len(order))], Message{From: n.self, Reads: true})
+		n.sendAll(order[:directQueryCount(len(order))], Message{From: n.self, StoreReader: true})
 	}
 }
 
-// heardReader queries a daemon that has reached the store, if the proof held here is old.
-func (n *Node) heardReader(now time.Time, name string) {
-	if now.Sub(n.assured.at) >= n.revokeFraction(readIntervalRatio+queryIntervalRatio) {
+// queryStoreReader queries a daemon that has reached the store, if the proof held here is old.
+func (n *Node) queryStoreReader(now time.Time, name string) {
+	if now.Sub(n.freshness.at) >= n.revokeFraction(readIntervalRatio+queryIntervalRatio) {
 		n.queryAssuranceOf(now, name)
 	}
 }
 
-// Reading is the result of a read of the newest configuration.
-type Reading struct {
+// ConfigurationReadResult is the result of a read of the newest configuration.
+type ConfigurationReadResult struct {
 	BegunAt time.Time
 	// Era is the era of the store that returned the result.
 	Era     uint64
@@ -304,26 +304,26 @@
 }
 
 // ConfigurationRead processes the result of a read of the newest configuration.
-func (n *Node) ConfigurationRead(now time.Time, read Reading) []Action {
-	n.learnEra(now, originStore, read.Era)
+func (n *Node) ConfigurationRead(now time.Time, read ConfigurationReadResult) []Action {
+	n.recordEra(now, originStore, read.Era)
 	if read.Configuration != nil {
-		n.learnConfiguration(read.Configuration)
+		n.applyConfiguration(read.Configuration)
 	}
 	n.readFinished(read.BegunAt, read.Version, n.provesNewest(&read))
-	return n.take()
+	return n.takeActions()
 }
 
-// ConfigurationNotRead records that a read of the configuration failed.
-func (n *Node) ConfigurationNotRead() []Action {
+// ConfigurationReadFailed records that a read of the configuration failed.
+func (n *Node) ConfigurationReadFailed() []Action {
 	n.readFinished(time.Time{}, 0, false)
-	return n.take()
+	return n.takeActions()
 }
 
-// readOnceMore makes a daemon that has just started read the configuration again as soon as the lease
+// repeatFirstRead makes a daemon that has just started read the configuration again as soon as the lease
 // record shows that the era is old enough. Its first read came too early to prove anything. When a
 // whole fleet restarts, the next read is half a second away.
-func (n *Node) readOnceMore() {
-	state := &n.assured
+func (n *Node) repeatFirstRead() {
+	state := &n.freshness
 	if state.firstReadRepeated || !state.at.IsZero() || n.lease.EraAge() < rewriteWindow {
 		return
 	}
@@ -334,6 +334,6 @@
 // restored from a copy, the copy may hold an older version. The read counts only after the operator has
 // had time to write the newest version again, and only if the store returns at least the version known
 // here.
-func (n *Node) provesNewest(read *Reading) bool {
+func (n *Node) provesNewest(read *ConfigurationReadResult) bool {
 	return n.rewritten(read.BegunAt) && (n.eras.advanced == 0 || read.Version >= n.configurationVersion())
 }
--- a/coordination/configuration_freshness_test.go
+++ b/coordination/configurationfreshness_test.go
@@ -50,11 +50,11 @@
 func (w *world) readConfiguration(name string) {
 	w.assured.reads++
 	if w.storeCut[name] {
-		w.perform(name, w.nodes[name].ConfigurationNotRead())
+		w.perform(name, w.nodes[name].ConfigurationReadFailed())
 		return
 	}
 	shown := w.assured.show(w.now)
-	w.perform(name, w.nodes[name].ConfigurationRead(w.now, coordination.Reading{
+	w.perform(name, w.nodes[name].ConfigurationRead(w.now, coordination.ConfigurationReadResult{
 		BegunAt: w.now, Era: w.era, Version: shown, Configuration: engineConfiguration(shown),
 	}))
 }
@@ -79,11 +79,11 @@
 func newAssuredWorld(count int) *world {
 	w := newWorld(count)
 	w.assured = &assuredStore{changedAt: map[uint64]time.Time{}}
-	w.rebuild(func(_ int, _ *member.Member, settings *coordination.Settings) {
-		settings.Lease.OrderPause, settings.RevokeWithin = 0, revokeWithin
+	w.recreateAll(func(_ int, _ *member.Member, settings *coordination.Settings) {
+		settings.Lease.TakeoverOrderDelay, settings.RevokeWithin = 0, revokeWithin
 	})
 	w.changeConfiguration()
-	w.learn()
+	w.listAll()
 	return w
 }
 
@@ -92,7 +92,7 @@
 	oldest := time.Duration(0)
 	for _, name := range w.names() {
 		if !w.dead[name] {
-			oldest = max(oldest, w.now.Sub(w.nodes[name].SureSince()))
+			oldest = max(oldest, w.now.Sub(w.nodes[name].ProvenSince()))
 		}
 	}
 	return oldest
@@ -119,7 +119,7 @@
 			w := newAssuredWorld(count)
 			w.run(10 * time.Second)
 			w.assured.reads = 0
-			clear(w.questions)
+			clear(w.freshnessRequests)
 			oldest := w.maxAgeDuring(10 * time.Second)
 			t.Logf("the oldest proof is %v old, %d reads in ten seconds", oldest, w.assured.reads)
 			if limit := revokeWithin * 3 / 10; oldest > limit {
@@ -128,7 +128,7 @@
 			if w.assured.reads > 30 {
 				t.Errorf("%d reads in ten seconds", w.assured.reads)
 			}
-			for name, requests := range w.questions {
+			for name, requests := range w.freshnessRequests {
 				if requests > 10*60 {
 					t.Errorf("%s receives %d requests in ten seconds", name, requests)
 				}
@@ -168,7 +168,7 @@
 	const firstTime, limit = 5 * time.Second, revokeWithin * 55 / 100
 	for offset := range 3 {
 		w := newAssuredWorld(69)
-		w.run(10*time.Second + time.Duration(offset)*3*coordination.TickEvery)
+		w.run(10*time.Second + time.Duration(offset)*3*coordination.TickInterval)
 		for i, name := range w.names() {
 			if i%3 == 0 || w.nodes[name].Rank() < 4 {
 				w.storeCut[name] = true
@@ -242,7 +242,7 @@
 
 // restart replaces a node by an empty one. Messages to the earlier one still arrive.
 func (w *world) restart(name string, random *rand.Rand) {
-	w.rebuildOne(name, uint64(w.now.UnixMilli()), random)
+	w.recreateOne(name, uint64(w.now.UnixMilli()), random)
 	w.perform(name, w.nodes[name].InstancesListed(w.now, listed(w.era, 5, "i1", "i2")))
 }
 
@@ -250,7 +250,7 @@
 	for _, name := range w.names() {
 		node := w.nodes[name]
 		view, _ := node.TakeView()
-		since := node.SureSince()
+		since := node.ProvenSince()
 		if since.IsZero() {
 			continue
 		}
@@ -313,11 +313,11 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	for _, name := range w.names() {
 		w.restart(name, random)
-		w.perform(name, w.nodes[name].ConfigurationLearned(engineConfiguration(1)))
+		w.perform(name, w.nodes[name].ConfigurationReceived(engineConfiguration(1)))
 	}
 	w.run(allowed)
 	for _, name := range w.names() {
-		if since := w.nodes[name].SureSince(); since.IsZero() {
+		if since := w.nodes[name].ProvenSince(); since.IsZero() {
 			t.Errorf("%s has no proof %v after its start", name, allowed)
 		}
 	}
--- a/coordination/demand.go
+++ b/coordination/demand.go
@@ -12,8 +12,8 @@
 
 type modelKey struct{ service, model string }
 
-// demandState holds the demand of all daemons for each model.
-type demandState struct {
+// demandTracker holds the demand of all daemons for each model.
+type demandTracker struct {
 	own      []ModelLoad
 	smoothed map[modelKey]float64
 	current  map[string]map[string]residency.Demand
@@ -22,8 +22,8 @@
 	smoothingSkipped bool
 }
 
-func newDemandState() demandState {
-	return demandState{
+func newDemandTracker() demandTracker {
+	return demandTracker{
 		smoothed: map[modelKey]float64{}, current: map[string]map[string]residency.Demand{},
 	}
 }
@@ -33,7 +33,7 @@
 
 // tick recomputes the demand as an average that rises fast and falls slowly, so that a single
 // request does not count as much as a lasting one.
-func (d *demandState) tick(now time.Time, halfLife time.Duration, peers map[string]peerState) {
+func (d *demandTracker) tick(now time.Time, halfLife time.Duration, peers map[string]peerState) {
 	sums := map[modelKey]ModelLoad{}
 	for _, load := range d.own {
 		addLoad(sums, load)
@@ -75,7 +75,7 @@
 
 // skipSmoothing makes the next average the demand received until then, instead of a step towards
 // it.
-func (d *demandState) skipSmoothing() { d.smoothingSkipped = true }
+func (d *demandTracker) skipSmoothing() { d.smoothingSkipped = true }
 
 func addLoad(sums map[modelKey]ModelLoad, load ModelLoad) {
 	key := modelKey{load.Service, load.Model}
@@ -110,7 +110,7 @@
 	return 0
 }
 
-func (d *demandState) publish(sums map[modelKey]ModelLoad) {
+func (d *demandTracker) publish(sums map[modelKey]ModelLoad) {
 	d.current = map[string]map[string]residency.Demand{}
 	for key, value := range d.smoothed {
 		if d.current[key.service] == nil {
@@ -124,7 +124,7 @@
 }
 
 // of returns the demand for the models of a service.
-func (d *demandState) of(service string) map[string]residency.Demand { return d.current[service] }
+func (d *demandTracker) of(service string) map[string]residency.Demand { return d.current[service] }
 
 // Demand returns the smoothed number of requests for a model, as far as this daemon has received it.
 func (n *Node) Demand(service, model string) float64 {
--- a/coordination/demandreport.go
+++ b/coordination/demandreport.go
@@ -10,9 +10,9 @@
 // fleet each dispatcher reports the sum over its group. The number of reports to the holder thus
 // grows with the groups and not with the daemons.
 func (n *Node) reportDemand(now time.Time) {
-	group, state := n.Group(), &n.sharing
+	group, state := n.Group(), &n.loadUpdates
 	member := group.Dispatcher != "" && !group.Dispatching
-	if n.TellsAll() || n.held || member {
+	if n.SendsLoadToAll() || n.held || member {
 		return
 	}
 	since := now.Sub(state.modelsSentAt)
@@ -49,7 +49,7 @@
 // demandInterval is the minimum interval between two demand reports of one dispatcher to the lease
 // holder.
 func (n *Node) demandInterval() time.Duration {
-	return max(n.settings.ShareEvery, time.Duration(n.Group().Count)*n.settings.DemandCost)
+	return max(n.settings.LoadUpdateInterval, time.Duration(n.Group().Count)*n.settings.DemandIntervalPerDispatcher)
 }
 
 // demandCollectionIntervals is the number of report intervals for which a new lease holder collects
@@ -60,15 +60,15 @@
 // fleet every daemon has received it all along. In a large one only the holder receives it, and a
 // plan without demand would remove the replicas that are needed most.
 func (n *Node) demandCollectionDelay() time.Duration {
-	if n.TellsAll() {
+	if n.SendsLoadToAll() {
 		return 0
 	}
 	return demandCollectionIntervals * n.demandInterval()
 }
 
-// AwaitsDemand reports whether this daemon has taken the lease but places no models yet, because it
+// CollectsDemand reports whether this daemon has taken the lease but places no models yet, because it
 // still collects demand.
-func (n *Node) AwaitsDemand() bool { return n.held && !n.demandWaitUntil.IsZero() }
+func (n *Node) CollectsDemand() bool { return n.held && !n.demandWaitUntil.IsZero() }
 
 // demandCollected reports whether a new lease holder has collected the demand. The collected demand
 // then counts in full, since the values before it are not a trend.
--- a/coordination/demandreport_test.go
+++ b/coordination/demandreport_test.go
@@ -27,10 +27,10 @@
 // model m in progress.
 func newWorldWithDemand(count int) *world {
 	w := newWorld(count)
-	w.rebuild(func(i int, self *member.Member, settings *coordination.Settings) {
-		self.Zone, settings.Lease.OrderPause = zoneOfNode(i), 0
+	w.recreateAll(func(i int, self *member.Member, settings *coordination.Settings) {
+		self.Zone, settings.Lease.TakeoverOrderDelay = zoneOfNode(i), 0
 	})
-	w.learnServers(20)
+	w.listInstances(20)
 	w.runWithDemand(settlingTime)
 	return w
 }
@@ -39,10 +39,10 @@
 func (w *world) runWithDemand(duration time.Duration) {
 	models := []coordination.ModelLoad{{Service: "llm", Model: "m", Requests: 2}}
 	loads := map[string]balance.Load{"i-00000000": {Requests: 2}}
-	for end := w.now.Add(duration); w.now.Before(end); w.now = w.now.Add(coordination.TickEvery) {
+	for end := w.now.Add(duration); w.now.Before(end); w.now = w.now.Add(coordination.TickInterval) {
 		for _, name := range w.names() {
 			if !w.dead[name] {
-				w.perform(name, w.nodes[name].ObserveOwn(w.now, loads, models, coordination.UrgencyNone))
+				w.perform(name, w.nodes[name].UpdateOwnLoad(w.now, loads, models, coordination.UrgencyNone))
 				w.perform(name, w.nodes[name].Tick(w.now))
 			}
 		}
@@ -83,13 +83,13 @@
 	w := newWorldWithDemand(largeCount())
 	w.dead[w.holders()[0]] = true
 	for len(w.holders()) == 0 {
-		w.runWithDemand(coordination.TickEvery)
+		w.runWithDemand(coordination.TickInterval)
 	}
 	w.runWithDemand(within)
 	if share := w.receivedShare(t); math.Abs(share-1) > 0.05 {
 		t.Errorf("the new holder has received %.2f of the demand %v after it took the lease", share, within)
 	}
-	if w.nodes[w.holders()[0]].AwaitsDemand() {
+	if w.nodes[w.holders()[0]].CollectsDemand() {
 		t.Errorf("the new holder still waits %v after it took the lease", within)
 	}
 }
--- a/coordination/departures.go
+++ b/coordination/departures.go
@@ -21,11 +21,11 @@
 	relistedDelay = 10 * time.Second
 )
 
-// departures tracks the instances that are leaving or gone although their entries may show them as
+// departureTracker tracks the instances that are leaving or gone although their entries may show them as
 // ready. That happens after the store was restored from a copy, or when an instance announces in its
 // responses that it leaves and its entry is late. A daemon that recorded the departure continues to
 // send the instance no requests.
-type departures struct {
+type departureTracker struct {
 	byInstance map[string]departure
 }
 
@@ -41,11 +41,13 @@
 	relistedAt time.Time
 }
 
-func newDepartures() departures { return departures{byInstance: map[string]departure{}} }
+func newDepartureTracker() departureTracker {
+	return departureTracker{byInstance: map[string]departure{}}
+}
 
-// note processes a change of an instance. Restored means that the change comes from a copy from which
+// record processes a change of an instance. Restored means that the change comes from a copy from which
 // the store was restored. That the copy shows an instance as ready is then no new information.
-func (d *departures) note(now time.Time, item *feed.Item[*fleet.Instance], restored bool) {
+func (d *departureTracker) record(now time.Time, item *feed.Item[*fleet.Instance], restored bool) {
 	known, departed := d.byInstance[item.Name]
 	switch {
 	case item.Gone:
@@ -63,7 +65,7 @@
 }
 
 // announce records that an instance has announced that it leaves. It reports whether that was unknown.
-func (d *departures) announce(now time.Time, instance string, listed bool) bool {
+func (d *departureTracker) announce(now time.Time, instance string, listed bool) bool {
 	known := d.byInstance[instance]
 	if known.announced {
 		return false
@@ -74,19 +76,19 @@
 }
 
 // departed reports whether an instance is leaving or gone, even if the list shows it as ready.
-func (d *departures) departed(instance string) bool {
+func (d *departureTracker) departed(instance string) bool {
 	_, departed := d.byInstance[instance]
 	return departed
 }
 
 // leaving reports whether an instance is known to leave and not known to be gone.
-func (d *departures) leaving(instance string) bool {
+func (d *departureTracker) leaving(instance string) bool {
 	known, departed := d.byInstance[instance]
 	return departed && !known.gone
 }
 
 // withDeparture returns an instance in the state for use: a departed one is leaving.
-func (d *departures) withDeparture(listed *fleet.Instance) *fleet.Instance {
+func (d *departureTracker) withDeparture(listed *fleet.Instance) *fleet.Instance {
 	if listed.Leaving || !d.departed(listed.ID) {
 		return listed
 	}
@@ -97,7 +99,7 @@
 
 // expire removes the departures that are too old to matter, and returns the instances that may be used
 // again.
-func (d *departures) expire(now time.Time) []string {
+func (d *departureTracker) expire(now time.Time) []string {
 	var reusable []string
 	maps.DeleteFunc(d.byInstance, func(instance string, known departure) bool {
 		switch {
@@ -119,17 +121,17 @@
 	return reusable
 }
 
-// InstanceLeaves records that an instance has announced in a response that it leaves.
-func (n *Node) InstanceLeaves(now time.Time, instance string) []Action {
+// InstanceLeaving records that an instance has announced in a response that it leaves.
+func (n *Node) InstanceLeaving(now time.Time, instance string) []Action {
 	listed, found := n.instances.Get(instance)
-	if n.departures.announce(now, instance, found) && found {
+	if n.departureTracker.announce(now, instance, found) && found {
 		n.changed[instance] = true
-		n.book.Put(n.inUse(listed))
+		n.residencyTracker.UpsertInstance(n.inUse(listed))
 		if n.held {
-			n.planSoon(now)
+			n.requestPlan(now)
 		}
 	}
-	return n.take()
+	return n.takeActions()
 }
 
 // departuresExpiryInterval is the interval between two checks for expired departures.
@@ -142,11 +144,11 @@
 		return
 	}
 	n.departuresAt = now
-	for _, id := range n.departures.expire(now) {
+	for _, id := range n.departureTracker.expire(now) {
 		if listed, found := n.instances.Get(id); found {
 			n.changed[id] = true
-			n.book.Put(n.inUse(listed))
-			n.decide("instances", "Instance still listed after a restore of the store; back in use.", "instance", id)
+			n.residencyTracker.UpsertInstance(n.inUse(listed))
+			n.logEntry("instances", "Instance still listed after a restore of the store; back in use.", "instance", id)
 		}
 	}
 }
--- a/coordination/departures_test.go
+++ b/coordination/departures_test.go
@@ -18,7 +18,7 @@
 			t.Errorf("%s: %v in use", when, used)
 		}
 	}
-	w.perform("n0", node.InstanceLeaves(w.now, "i1"))
+	w.perform("n0", node.InstanceLeaving(w.now, "i1"))
 	check("right after the announcement")
 	w.perform("n0", node.InstancesChanged(w.now, listed(1, 96, "i1")))
 	check("entry written again")
@@ -35,10 +35,10 @@
 func TestHolderLeavesAnInstanceAlone(t *testing.T) {
 	w := eraWorld(1, "i1", "i2")
 	w.run(3 * time.Second)
-	w.perform("n0", w.nodes["n0"].InstanceRests("i1", w.now.Add(4*time.Second)))
-	before, ordersBefore := w.reportsAsked["i1"], len(w.orders)
+	w.perform("n0", w.nodes["n0"].BackOffInstance("i1", w.now.Add(4*time.Second)))
+	before, ordersBefore := w.reportRequests["i1"], len(w.orders)
 	w.run(4*time.Second - 100*time.Millisecond)
-	if polls := w.reportsAsked["i1"] - before; polls > 0 {
+	if polls := w.reportRequests["i1"] - before; polls > 0 {
 		t.Errorf("polled %d times", polls)
 	}
 	for _, order := range w.orders[ordersBefore:] {
@@ -46,11 +46,11 @@
 			t.Errorf("order sent: %+v", order)
 		}
 	}
-	if w.reportsAsked["i2"] == 0 {
+	if w.reportRequests["i2"] == 0 {
 		t.Error("the other instance is not polled either")
 	}
 	w.run(2 * time.Second)
-	if w.reportsAsked["i1"] == before {
+	if w.reportRequests["i1"] == before {
 		t.Error("not polled again after its backoff")
 	}
 }
--- a/coordination/evacuations.go
+++ b/coordination/evacuations.go
@@ -24,23 +24,23 @@
 // EvacuationsListed processes a full list of the evacuated zones.
 func (n *Node) EvacuationsListed(now time.Time, batch feed.Batch[fleet.Evacuation]) []Action {
 	n.replaceEvacuations(now, originStore, batch)
-	return n.take()
+	return n.takeActions()
 }
 
 // EvacuationsChanged processes evacuations that were ordered or revoked.
 func (n *Node) EvacuationsChanged(now time.Time, batch feed.Batch[fleet.Evacuation]) []Action {
-	n.learnEra(now, originStore, batch.At.Era)
+	n.recordEra(now, originStore, batch.At.Era)
 	n.evacuationsChanged(now, originStore, n.evacuations.Apply(batch))
-	return n.take()
+	return n.takeActions()
 }
 
 // replaceEvacuations processes a full list. After a restore of the store, evacuations that the list
 // lacks are kept until the operator has had time to write them again.
 func (n *Node) replaceEvacuations(now time.Time, from origin, batch feed.Batch[fleet.Evacuation]) {
-	n.learnEra(now, from, batch.At.Era)
+	n.recordEra(now, from, batch.At.Era)
 	n.recordFirstList(SourceEvacuations, batch.At)
 	changed := n.evacuations.Replace(batch)
-	if n.evacuations.HasEarlier() {
+	if n.evacuations.HasEarlierEra() {
 		n.eras.earlierUntil = now.Add(rewriteWindow)
 	}
 	n.evacuationsChanged(now, from, changed)
@@ -50,20 +50,20 @@
 // evacuation was revoked back into use.
 func (n *Node) evacuationsChanged(now time.Time, from origin, changed []feed.Item[fleet.Evacuation]) {
 	for _, item := range changed {
-		n.decide("evacuations", "Changed.", "zone", item.Name, "evacuated", !item.Gone, "at", item.Place, "from", string(from))
+		n.logEntry("evacuations", "Changed.", "zone", item.Name, "evacuated", !item.Gone, "at", item.Place, "from", string(from))
 		for _, listed := range n.instances.Items() {
 			if listed.Value.Zone != item.Name {
 				continue
 			}
 			n.changed[listed.Name] = true
-			n.book.Put(n.inUse(listed.Value))
+			n.residencyTracker.UpsertInstance(n.inUse(listed.Value))
 			if item.Gone {
 				n.assumeCold(listed.Value)
 			}
 		}
 	}
 	if len(changed) > 0 && n.held {
-		n.planSoon(now)
+		n.requestPlan(now)
 	}
 }
 
@@ -78,7 +78,7 @@
 // inUse returns an instance in the state for use: one that has departed or whose zone is evacuated
 // counts as leaving.
 func (n *Node) inUse(listed *fleet.Instance) *fleet.Instance {
-	inUse := n.departures.withDeparture(listed)
+	inUse := n.departureTracker.withDeparture(listed)
 	if inUse.Leaving || !n.evacuated(listed.Zone) {
 		return inUse
 	}
@@ -87,10 +87,10 @@
 	return &copied
 }
 
-// evacuationsKnown reports whether requests may be served as far as evacuations are concerned. A daemon
+// evacuationsSynced reports whether requests may be served as far as evacuations are concerned. A daemon
 // that the store does not answer receives the evacuations from others.
-func (n *Node) evacuationsKnown() bool {
-	return !n.settings.FollowsEvacuations || n.evacuations.Known() || n.sources[SourceEvacuations].unavailable
+func (n *Node) evacuationsSynced() bool {
+	return !n.settings.FollowsEvacuations || n.evacuations.Synced() || n.sources[SourceEvacuations].unavailable
 }
 
 // evacuationListing returns the list sent to other daemons. It contains all evacuated zones, since
@@ -105,8 +105,8 @@
 	return listing
 }
 
-// takeEvacuations merges the evacuated zones that another daemon sent.
-func (n *Node) takeEvacuations(now time.Time, from origin, listing *EvacuationListing) {
+// mergeEvacuations merges the evacuated zones that another daemon sent.
+func (n *Node) mergeEvacuations(now time.Time, from origin, listing *EvacuationListing) {
 	batch := feed.Batch[fleet.Evacuation]{At: listing.At}
 	for _, listed := range listing.Zones {
 		batch.Items = append(batch.Items, feed.Item[fleet.Evacuation]{
--- a/coordination/evacuations_test.go
+++ b/coordination/evacuations_test.go
@@ -35,8 +35,8 @@
 // instance named like the zone.
 func zonedWorld(count int) *world {
 	w := newWorld(count)
-	w.rebuild(func(_ int, _ *member.Member, settings *coordination.Settings) {
-		settings.Lease.OrderPause, settings.FollowsEvacuations = 0, true
+	w.recreateAll(func(_ int, _ *member.Member, settings *coordination.Settings) {
+		settings.Lease.TakeoverOrderDelay, settings.FollowsEvacuations = 0, true
 	})
 	w.restore(1)
 	for _, name := range w.names() {
@@ -51,7 +51,7 @@
 func (w *world) loadZones(name string) {
 	configuration := engineConfiguration(1)
 	configuration.Services[0].ColdSpan, configuration.Services[0].ColdPerSecond = 3*time.Second, 8
-	w.perform(name, w.nodes[name].ConfigurationLearned(configuration))
+	w.perform(name, w.nodes[name].ConfigurationReceived(configuration))
 	instances := listed(1, 95, "a", "b")
 	for _, item := range instances.Items {
 		item.Value.Zone = item.Name
@@ -110,7 +110,7 @@
 	settings := coordination.DefaultSettings(term)
 	settings.FollowsEvacuations = true
 	w.nodes["n4"] = coordination.New(w.now, self, settings, []string{"n0"}, rand.New(rand.NewPCG(4, 8)))
-	if w.nodes["n4"].Known() {
+	if w.nodes["n4"].Synced() {
 		t.Error("the daemon reports that it is ready before it has any data")
 	}
 	for _, source := range []coordination.Source{coordination.SourceConfiguration, coordination.SourceInstances, coordination.SourceEvacuations} {
@@ -124,7 +124,7 @@
 // and instances first and meanwhile sends requests to an evacuated zone.
 func TestDaemonServesNobodyBeforeItKnowsTheEvacuations(t *testing.T) {
 	w := newWorld(1)
-	w.rebuild(func(_ int, _ *member.Member, settings *coordination.Settings) { settings.FollowsEvacuations = true })
+	w.recreateAll(func(_ int, _ *member.Member, settings *coordination.Settings) { settings.FollowsEvacuations = true })
 	w.loadZones("n0")
 	if view, _ := w.nodes["n0"].TakeView(); view.Configuration() != nil {
 		t.Error("a configuration is in force before the evacuations are known")
@@ -172,9 +172,9 @@
 func TestHolderLeavesAnEvacuatedZoneAlone(t *testing.T) {
 	w := zonedWorld(1)
 	w.perform("n0", w.nodes["n0"].EvacuationsChanged(w.now, evacuated(1, 96, "a")))
-	before, ordersBefore := w.reportsAsked["a"], len(w.orders)
+	before, ordersBefore := w.reportRequests["a"], len(w.orders)
 	w.run(5 * time.Second)
-	if polls := w.reportsAsked["a"] - before; polls > 0 {
+	if polls := w.reportRequests["a"] - before; polls > 0 {
 		t.Errorf("polled %d times", polls)
 	}
 	for _, order := range w.orders[ordersBefore:] {
@@ -184,7 +184,7 @@
 	}
 	w.perform("n0", w.nodes["n0"].EvacuationsChanged(w.now, evacuationLifted(1, 97, "a")))
 	w.run(2 * time.Second)
-	if w.reportsAsked["a"] == before {
+	if w.reportRequests["a"] == before {
 		t.Error("not polled again after the evacuation")
 	}
 }
@@ -197,15 +197,15 @@
 	cold.Items[0].Value.ColdLeft = 2 * time.Second
 	configuration := engineConfiguration(2)
 	configuration.Services[0].ColdPerSecond = 8
-	want := coordination.LearnCold{Instance: "a", PerSecond: 8, Left: 2 * time.Second}
+	want := coordination.InstanceCold{Instance: "a", PerSecond: 8, Remaining: 2 * time.Second}
 	for _, configurationFirst := range []bool{true, false} {
 		w := eraWorld(1, "a")
 		node := w.nodes["n0"]
 		var actions []coordination.Action
 		if configurationFirst {
-			actions = append(node.ConfigurationLearned(configuration), node.InstancesChanged(w.now, cold)...)
+			actions = append(node.ConfigurationReceived(configuration), node.InstancesChanged(w.now, cold)...)
 		} else {
-			actions = append(node.InstancesChanged(w.now, cold), node.ConfigurationLearned(configuration)...)
+			actions = append(node.InstancesChanged(w.now, cold), node.ConfigurationReceived(configuration)...)
 		}
 		if !slices.Contains(actions, coordination.Action(want)) {
 			t.Errorf("configuration first %v: no action limits the requests to the cold instance", configurationFirst)
@@ -218,13 +218,13 @@
 func TestZoneThatWasTakenBackCountsAsCold(t *testing.T) {
 	w := zonedWorld(1)
 	w.perform("n0", w.nodes["n0"].EvacuationsChanged(w.now, evacuated(1, 96, "a")))
-	var cold []coordination.LearnCold
+	var cold []coordination.InstanceCold
 	for _, action := range w.nodes["n0"].EvacuationsChanged(w.now, evacuationLifted(1, 97, "a")) {
-		if reported, ok := action.(coordination.LearnCold); ok {
+		if reported, ok := action.(coordination.InstanceCold); ok {
 			cold = append(cold, reported)
 		}
 	}
-	if want := []coordination.LearnCold{{Instance: "a", PerSecond: 8, Left: 3 * time.Second}}; !slices.Equal(cold, want) {
+	if want := []coordination.InstanceCold{{Instance: "a", PerSecond: 8, Remaining: 3 * time.Second}}; !slices.Equal(cold, want) {
 		t.Errorf("cold instances %+v, want %+v", cold, want)
 	}
 }
--- a/coordination/gossip_peers.go
+++ b/coordination/gossippeers.go
@@ -18,19 +18,19 @@
 	ringPeers = 2
 )
 
-// partners are the gossip peers of a daemon in a large fleet, by zone, in the order in which they are
+// gossipPeers are the gossip peers of a daemon in a large fleet, by zone, in the order in which they are
 // sent to.
-type partners struct {
+type gossipPeers struct {
 	near, far  []string
 	selectedAt time.Time
 	revision   uint64
 }
 
-// sharePeers returns the receivers of one message: up to a number of daemons of the own zone, and of
+// gossipReceivers returns the receivers of one message: up to a number of daemons of the own zone, and of
 // others. A daemon that watches the store picks other receivers each time, so that its updates reach
 // all.
-func (n *Node) sharePeers(now time.Time, watching bool, near, far int) []string {
-	peers := &n.sharing.partners
+func (n *Node) gossipReceivers(now time.Time, watching bool, near, far int) []string {
+	peers := &n.loadUpdates.gossipPeers
 	if watching {
 		peers.selectedAt = time.Time{}
 	}
@@ -41,7 +41,7 @@
 // selectGossipPeers picks new gossip peers if they have been the same for long, and replaces those that
 // are no longer alive.
 func (n *Node) selectGossipPeers(now time.Time) {
-	peers := &n.sharing.partners
+	peers := &n.loadUpdates.gossipPeers
 	expired := now.Sub(peers.selectedAt) >= gossipPeersTTL
 	if revision := n.MembersRevision(); expired || revision != peers.revision {
 		peers.revision = revision
@@ -55,8 +55,8 @@
 		for ring := range ringPeers {
 			rings = append(rings, nextInRing(near, n.self, strconv.Itoa(ring)))
 		}
-		peers.near = n.refill(slices.Concat(rings, keptNear), near, n.settings.MaxPeers)
-		peers.far = n.refill(keptFar, far, n.settings.FarPeers)
+		peers.near = n.refill(slices.Concat(rings, keptNear), near, n.settings.MaxZonePeers)
+		peers.far = n.refill(keptFar, far, n.settings.MaxOtherZonePeers)
 	}
 }
 
--- a/coordination/gossip_peers_test.go
+++ b/coordination/gossippeers_test.go
@@ -15,16 +15,16 @@
 func TestDaemonTellsTheSameOthersForAWhile(t *testing.T) {
 	const daemons, maxReceivers = 240, 60
 	w := newWorld(daemons)
-	w.rebuild(func(i int, self *member.Member, settings *coordination.Settings) {
-		self.Zone, settings.Lease.OrderPause = zoneOfNode(i), 0
+	w.recreateAll(func(i int, self *member.Member, settings *coordination.Settings) {
+		self.Zone, settings.Lease.TakeoverOrderDelay = zoneOfNode(i), 0
 	})
-	w.learnServers(20)
+	w.listInstances(20)
 	w.run(4 * time.Second)
-	clear(w.heardLoad)
+	clear(w.loadUpdates)
 	w.run(10 * time.Second)
 	receivers := map[string]int{}
 	senders := map[string]int{}
-	for pair := range w.heardLoad {
+	for pair := range w.loadUpdates {
 		receivers[pair[0]]++
 		senders[pair[1]]++
 	}
--- a/coordination/groups.go
+++ b/coordination/groups.go
@@ -34,8 +34,8 @@
 	Count int
 }
 
-// Leads reports whether this daemon is the dispatcher of the named one.
-func (g *Group) Leads(name string) bool { return slices.Contains(g.Members, name) }
+// HasMember reports whether this daemon is the dispatcher of the named one.
+func (g *Group) HasMember(name string) bool { return slices.Contains(g.Members, name) }
 
 // Group returns this daemon's group. The caller must not change it.
 func (n *Node) Group() *Group {
@@ -47,7 +47,7 @@
 
 func (n *Node) computeGroup() *Group {
 	group := &Group{}
-	if len(n.liveOthers()) <= n.settings.SharePeers {
+	if len(n.liveOthers()) <= n.settings.MaxSmallFleetPeers {
 		return group
 	}
 	self := n.detector.Self()
--- a/coordination/groups_test.go
+++ b/coordination/groups_test.go
@@ -15,16 +15,16 @@
 // the groups, and send updates to few other nodes, and less often.
 func TestDispatchersHearOfEveryChange(t *testing.T) {
 	w := newWorld(manyNodes)
-	w.learn()
+	w.listAll()
 	w.run(8 * time.Second)
-	clear(w.heardLoad)
+	clear(w.loadUpdates)
 	clear(w.messages)
 	const changes = 40
 	for change := range changes {
 		w.run(50 * time.Millisecond)
 		for _, name := range w.names() {
 			load := map[string]balance.Load{"i": {Requests: 1 + change}}
-			w.perform(name, w.nodes[name].ObserveOwn(w.now, load, nil, coordination.UrgencyLoad))
+			w.perform(name, w.nodes[name].UpdateOwnLoad(w.now, load, nil, coordination.UrgencyLoad))
 		}
 	}
 	dispatchers := 0
@@ -38,7 +38,7 @@
 			continue
 		}
 		leader := w.nodes[group.Dispatcher]
-		if leader == nil || !leader.Group().Dispatching || !leader.Group().Leads(name) {
+		if leader == nil || !leader.Group().Dispatching || !leader.Group().HasMember(name) {
 			t.Fatalf("%s has the dispatcher %q, which does not have it as a member", name, group.Dispatcher)
 		}
 		if backup := w.nodes[group.Backup]; backup == nil || !backup.Group().Dispatching || group.Backup == group.Dispatcher {
@@ -48,7 +48,7 @@
 		if _, err := fmt.Sscanf(group.Dispatcher, "n%d", &place); err != nil || place%4 != i%4 {
 			t.Errorf("%s has the dispatcher %s of another zone", name, group.Dispatcher)
 		}
-		if received := w.heardLoad[[2]string{name, group.Dispatcher}]; received < changes {
+		if received := w.loadUpdates[[2]string{name, group.Dispatcher}]; received < changes {
 			t.Errorf("%s received %d load updates of %s for %d changes", group.Dispatcher, received, name, changes)
 		}
 		if sent := w.messages[name]; sent > 500 {
@@ -63,7 +63,7 @@
 // TestLostDispatcherIsReplaced covers a dispatcher that fails.
 func TestLostDispatcherIsReplaced(t *testing.T) {
 	w := newWorld(manyNodes)
-	w.learn()
+	w.listAll()
 	w.run(8 * time.Second)
 	lost := w.nodes["n0"].Group().Dispatcher
 	w.dead[lost] = true
@@ -83,14 +83,14 @@
 func TestDutiesGoToHeavierMachinesFirst(t *testing.T) {
 	w := newWorld(manyNodes)
 	strong := func(i int) bool { return i%4 == i/4%4 && i < 16 }
-	w.rebuild(func(i int, self *member.Member, settings *coordination.Settings) {
-		settings.Lease.OrderPause = 0
+	w.recreateAll(func(i int, self *member.Member, settings *coordination.Settings) {
+		settings.Lease.TakeoverOrderDelay = 0
 		self.Weight = 192
 		if strong(i) {
 			self.Weight = 800
 		}
 	})
-	w.learn()
+	w.listAll()
 	w.run(12 * time.Second)
 	holders := w.holders()
 	if len(holders) != 1 {
@@ -109,7 +109,7 @@
 // TestSmallFleetHasNoGroups covers a fleet in which each daemon sends its load to all others.
 func TestSmallFleetHasNoGroups(t *testing.T) {
 	w := newWorld(9)
-	w.learn()
+	w.listAll()
 	w.run(8 * time.Second)
 	if group := w.nodes["n0"].Group(); group.Dispatcher != "" || group.Dispatching {
 		t.Fatalf("%+v", group)
@@ -121,7 +121,7 @@
 // since each watch has a price.
 func TestFewNodesWatchInALargeFleet(t *testing.T) {
 	w := newWorld(manyNodes)
-	w.learn()
+	w.listAll()
 	w.run(8 * time.Second)
 	maxWatching := coordination.DefaultSettings(term).Watchers
 	for range 100 {
--- a/coordination/heard_members_test.go
+++ b/coordination/heardmembers_test.go
@@ -10,7 +10,7 @@
 // aliveCount counts the daemons that a node considers alive, including itself.
 func (w *world) aliveCount(name string) int {
 	count := 0
-	for _, known := range w.nodes[name].HeardMembers(w.now) {
+	for _, known := range w.nodes[name].RecentMembers(w.now) {
 		if known.State == member.Alive {
 			count++
 		}
@@ -23,7 +23,7 @@
 // a time.
 func TestDaemonThatIsCutOffHearsNobodySoon(t *testing.T) {
 	w := newWorld(9)
-	w.learn()
+	w.listAll()
 	w.run(5 * time.Second)
 	if aliveCount := w.aliveCount("n0"); aliveCount != 9 {
 		t.Fatalf("%d of 9 daemons count as alive", aliveCount)
--- a/coordination/holderupdate.go
+++ b/coordination/holderupdate.go
@@ -27,20 +27,20 @@
 // tickHolderUpdates sends an update to all daemons if one is due and this daemon holds the lease.
 func (n *Node) tickHolderUpdates(now time.Time) {
 	if !n.held {
-		clear(n.spreading.due)
+		clear(n.holderUpdates.due)
 		return
 	}
-	interval := n.settings.SpreadEvery
-	if len(n.spreading.due) > 0 {
-		interval = n.settings.SpreadSoon
+	interval := n.settings.HolderUpdateInterval
+	if len(n.holderUpdates.due) > 0 {
+		interval = n.settings.MinHolderUpdateInterval
 	}
-	if now.Sub(n.spreading.sentAt) >= interval {
-		n.spread(now)
+	if now.Sub(n.holderUpdates.sentAt) >= interval {
+		n.sendHolderUpdate(now)
 	}
 }
 
-// spread sends an update to all daemons, if this daemon may send orders.
-func (n *Node) spread(now time.Time) {
+// sendHolderUpdate sends an update to all daemons, if this daemon may send orders.
+func (n *Node) sendHolderUpdate(now time.Time) {
 	fence, _, may := n.mayOrder(now)
 	if !may {
 		return
@@ -50,21 +50,21 @@
 
 // sendRelease notifies all daemons that this one has released the lease.
 func (n *Node) sendRelease(now time.Time) {
-	fence, _ := n.lease.Retained()
+	fence, _ := n.lease.LastFence()
 	n.sendHolderUpdateAs(now, fence, true)
 }
 
 func (n *Node) sendHolderUpdateAs(now time.Time, fence uint64, released bool) {
-	state := &n.spreading
+	state := &n.holderUpdates
 	state.sentAt = now
 	state.sequence++
-	message := &Spread{
+	message := &HolderUpdate{
 		Root: n.self, Boot: state.boot, Sequence: state.sequence, Fence: fence, Lease: n.lease.Place(),
-		Released: released, Digest: n.facts.digest,
+		Released: released, Digest: n.residencyReports.digest,
 	}
 	for instance := range state.due {
-		if _, known := n.facts.byInstance[instance]; known {
-			message.Facts = append(message.Facts, n.agedFact(now, instance))
+		if _, known := n.residencyReports.byInstance[instance]; known {
+			message.ResidencyReports = append(message.ResidencyReports, n.residencyReportWithAge(now, instance))
 		}
 	}
 	clear(state.due)
@@ -72,12 +72,12 @@
 }
 
 // forwardHolderUpdate sends an update of the lease holder to the daemons below this one.
-func (n *Node) forwardHolderUpdate(message *Spread) {
-	n.passBelow(message.Root, message.Sequence, Message{From: n.self, Spread: message})
+func (n *Node) forwardHolderUpdate(message *HolderUpdate) {
+	n.forwardToChildren(message.Root, message.Sequence, Message{From: n.self, HolderUpdate: message})
 }
 
-// passBelow sends a message to this daemon's children in the multicast tree of the message's root.
-func (n *Node) passBelow(root string, sequence uint64, message Message) {
+// forwardToChildren sends a message to this daemon's children in the multicast tree of the message's root.
+func (n *Node) forwardToChildren(root string, sequence uint64, message Message) {
 	if revision := n.MembersRevision(); n.multicastTrees == nil || revision != n.treesRevision {
 		n.multicastTrees, n.treesRevision = newMulticastTrees(n.detector.Members()), revision
 	}
@@ -87,14 +87,14 @@
 // receiveHolderUpdate processes an update of the lease holder and forwards it, if it is newer than
 // the last one. The check prevents loops while daemons compute different trees for a moment.
 func (n *Node) receiveHolderUpdate(now time.Time, message Message) {
-	update := message.Spread
-	received := n.spreading.received[update.Root]
+	update := message.HolderUpdate
+	received := n.holderUpdates.received[update.Root]
 	if update.Root == n.self || received.boot == update.Boot && update.Sequence <= received.sequence {
 		return
 	}
-	n.spreading.received[update.Root] = updateNumber{update.Boot, update.Sequence}
-	for _, entry := range update.Facts {
-		n.learn(entry, now.Add(-entry.Age))
+	n.holderUpdates.received[update.Root] = updateNumber{update.Boot, update.Sequence}
+	for _, entry := range update.ResidencyReports {
+		n.mergeResidencyReport(entry, now.Add(-entry.Age))
 	}
 	if update.Released {
 		n.observeRelease(now, update.Root, update.Fence, update.Lease)
@@ -107,32 +107,32 @@
 
 // checkFactsDigest requests all facts from the lease holder if those of this daemon have differed
 // for a while. Then an update was lost, or this daemon has just started.
-func (n *Node) checkFactsDigest(now time.Time, update *Spread) {
-	state := &n.spreading
-	if update.Digest == n.facts.digest {
+func (n *Node) checkFactsDigest(now time.Time, update *HolderUpdate) {
+	state := &n.holderUpdates
+	if update.Digest == n.residencyReports.digest {
 		state.digestDiffersSince = time.Time{}
 		return
 	}
 	if state.digestDiffersSince.IsZero() {
 		state.digestDiffersSince = now
 	}
-	delay := n.settings.FactsPatience
-	if len(n.facts.byInstance) == 0 {
+	delay := n.settings.ResidencyRequestDelay
+	if len(n.residencyReports.byInstance) == 0 {
 		// This daemon has just started, so it requests the facts at once.
 		delay = 0
 	}
-	if now.Sub(state.digestDiffersSince) < delay || now.Sub(state.factsRequestedAt) < n.settings.FactsPause {
+	if now.Sub(state.digestDiffersSince) < delay || now.Sub(state.factsRequestedAt) < n.settings.ResidencyRequestInterval {
 		return
 	}
 	state.factsRequestedAt = now
 	if root, found := n.detector.Lookup(update.Root); found {
-		n.do(SendPeer{Address: root.PeerAddress, Message: Message{From: n.self, AskFacts: true}})
+		n.enqueue(SendPeer{Address: root.PeerAddress, Message: Message{From: n.self, RequestResidencyReports: true}})
 	}
 }
 
 // sendAllFacts sends all facts to one daemon, if this daemon holds the lease.
 func (n *Node) sendAllFacts(now time.Time, from string) {
 	if other, found := n.detector.Lookup(from); found && n.held {
-		n.do(SendPeer{Address: other.PeerAddress, Message: Message{From: n.self, Facts: n.allFacts(now)}})
+		n.enqueue(SendPeer{Address: other.PeerAddress, Message: Message{From: n.self, ResidencyReports: n.allResidencyReports(now)}})
 	}
 }
--- a/coordination/holderupdate_test.go
+++ b/coordination/holderupdate_test.go
@@ -26,7 +26,7 @@
 		if w.dead[name] {
 			continue
 		}
-		if fact, found := w.nodes[name].FactOf(instance); found && len(fact.Residents) > 0 && fact.Residents[len(fact.Residents)-1].Model == model {
+		if fact, found := w.nodes[name].ResidencyReportOf(instance); found && len(fact.Residents) > 0 && fact.Residents[len(fact.Residents)-1].Model == model {
 			count++
 		}
 	}
@@ -43,7 +43,7 @@
 // round, although each node sends to a few others only.
 func TestFactsReachManyNodes(t *testing.T) {
 	w := newWorld(manyNodes)
-	w.learn()
+	w.listAll()
 	w.run(8 * time.Second)
 	w.report(w.holders()[0], "i1", "n", 9)
 	w.run(100 * time.Millisecond)
@@ -57,7 +57,7 @@
 // facts differ from those of all others, and it requests them again and again.
 func TestFactsOfAServerThatIsGoneAreForgotten(t *testing.T) {
 	w := newWorld(manyNodes)
-	w.learn()
+	w.listAll()
 	w.run(8 * time.Second)
 	holder := w.holders()[0]
 	late := "n0"
@@ -67,9 +67,9 @@
 	for _, name := range w.names() {
 		w.perform(name, w.nodes[name].InstancesListed(w.now, listing(9, "i1")))
 	}
-	fact := coordination.Fact{Instance: "i2", Sequence: 9}
-	w.perform(late, w.nodes[late].Receive(w.now, coordination.Message{From: holder, Facts: []coordination.Fact{fact}}))
-	if w.nodes[late].KnowsReport("i2") {
+	fact := coordination.ResidencyReport{Instance: "i2", Sequence: 9}
+	w.perform(late, w.nodes[late].Receive(w.now, coordination.Message{From: holder, ResidencyReports: []coordination.ResidencyReport{fact}}))
+	if w.nodes[late].HasResidencyReport("i2") {
 		t.Error("the fact of a removed instance is kept")
 	}
 	w.factMessages = 0
@@ -83,7 +83,7 @@
 // nodes below catch up without another change.
 func TestNodeThatMissedAFactAsksForIt(t *testing.T) {
 	w := newWorld(manyNodes)
-	w.learn()
+	w.listAll()
 	w.run(8 * time.Second)
 	holder := w.holders()[0]
 	for _, name := range w.names()[manyNodes/2:] {
@@ -111,7 +111,7 @@
 		}
 		unloads++
 		for _, name := range w.names() {
-			fact, _ := w.nodes[name].FactOf(order.Instance)
+			fact, _ := w.nodes[name].ResidencyReportOf(order.Instance)
 			if slices.ContainsFunc(fact.Residents, func(resident fleet.Resident) bool { return resident.Model == order.Model }) {
 				t.Errorf("%s still considers %s to serve %s", name, order.Instance, order.Model)
 			}
@@ -120,7 +120,7 @@
 	tight := engineConfiguration(1)
 	tight.Services[0].Engine.WeightsMB = 60
 	for _, name := range w.names() {
-		w.perform(name, w.nodes[name].ConfigurationLearned(tight))
+		w.perform(name, w.nodes[name].ConfigurationReceived(tight))
 	}
 	// The second instance makes an unload possible, as soon as its first report has arrived.
 	for at, servers := range [][]string{{"i1"}, {"i1", "i2"}} {
@@ -140,13 +140,13 @@
 	const maxMessages = 400
 	for _, count := range []int{9, 20, manyNodes} {
 		w := newWorld(count)
-		w.learn()
+		w.listAll()
 		w.run(8 * time.Second)
 		clear(w.messages)
 		for range 20 {
 			w.run(50 * time.Millisecond)
 			for _, name := range w.names() {
-				w.perform(name, w.nodes[name].ObserveOwn(w.now, map[string]balance.Load{}, nil, coordination.UrgencyLoad))
+				w.perform(name, w.nodes[name].UpdateOwnLoad(w.now, map[string]balance.Load{}, nil, coordination.UrgencyLoad))
 			}
 		}
 		for name, sent := range w.messages {
@@ -160,7 +160,7 @@
 // TestReportsThatComeTogetherArePlannedOnce covers reports of many instances at the same moment.
 func TestReportsThatComeTogetherArePlannedOnce(t *testing.T) {
 	w := newWorld(1)
-	w.learn()
+	w.listAll()
 	w.run(4 * time.Second)
 	node := w.nodes["n0"]
 	before := node.Plans()
@@ -179,7 +179,7 @@
 func TestManyServersArePlannedForSeldom(t *testing.T) {
 	const servers = 120
 	w := newWorld(1)
-	w.learn()
+	w.listAll()
 	var batch feed.Batch[*fleet.Instance]
 	for i := range servers {
 		id := fmt.Sprint("many", i)
@@ -207,7 +207,7 @@
 // TestAnEarlierHolderIsNotBelieved covers a late message of a lease holder that has been replaced.
 func TestAnEarlierHolderIsNotBelieved(t *testing.T) {
 	w := newWorld(3)
-	w.learn()
+	w.listAll()
 	w.run(5 * time.Second)
 	first := w.holders()[0]
 	stale := coordination.Load{Fence: 1, Lease: &history.Place{Revision: 1}}
@@ -228,7 +228,7 @@
 // the multicast trees depend on the known members.
 func TestManyNodesKnowEachOtherSoon(t *testing.T) {
 	w := newWorld(manyNodes)
-	w.learn()
+	w.listAll()
 	w.run(8 * time.Second)
 	for _, name := range w.names() {
 		if known := len(w.nodes[name].Members()); known != manyNodes {
@@ -243,12 +243,12 @@
 	w := newWorld(9)
 	for i, name := range w.names() {
 		settings := coordination.DefaultSettings(term)
-		settings.Lease.OrderPause = 0
-		settings.ShareEvery = 5 * time.Second
+		settings.Lease.TakeoverOrderDelay = 0
+		settings.LoadUpdateInterval = 5 * time.Second
 		self := member.Member{Name: name, Zone: "z", PeerAddress: name, CallerAddress: name, Incarnation: 1}
 		w.nodes[name] = coordination.New(w.now, self, settings, []string{"n0"}, rand.New(rand.NewPCG(uint64(i), 7)))
 	}
-	w.learn()
+	w.listAll()
 	w.run(10 * time.Second)
 	before := w.factMessages
 	w.run(30 * time.Second)
@@ -261,12 +261,12 @@
 // holder places models for all of it, although the other daemons do not receive it.
 func TestHolderHearsTheDemandOfManyNodes(t *testing.T) {
 	w := newWorld(30)
-	w.learn()
+	w.listAll()
 	w.run(8 * time.Second)
 	models := []coordination.ModelLoad{{Service: "llm", Model: "m", Requests: 2}}
 	for range 100 {
 		for _, name := range w.names() {
-			w.perform(name, w.nodes[name].ObserveOwn(w.now, map[string]balance.Load{}, models, coordination.UrgencyNone))
+			w.perform(name, w.nodes[name].UpdateOwnLoad(w.now, map[string]balance.Load{}, models, coordination.UrgencyNone))
 			w.perform(name, w.nodes[name].Tick(w.now))
 		}
 		w.now = w.now.Add(50 * time.Millisecond)
@@ -281,12 +281,12 @@
 // receives the demand for models. A new holder has none of it yet.
 func TestNewHolderPlansOnceItHearsTheDemand(t *testing.T) {
 	w := newWorld(manyNodes)
-	w.learn()
+	w.listAll()
 	w.run(8 * time.Second)
 	reportAll := func() {
 		for _, name := range w.names() {
 			models := []coordination.ModelLoad{{Service: "llm", Model: "m", Requests: 2}}
-			w.perform(name, w.nodes[name].ObserveOwn(w.now, nil, models, coordination.UrgencyLoad))
+			w.perform(name, w.nodes[name].UpdateOwnLoad(w.now, nil, models, coordination.UrgencyLoad))
 		}
 	}
 	first := w.holders()[0]
@@ -310,14 +310,14 @@
 	for _, routes := range []int{3, 1500} {
 		w := newWorld(9)
 		w.setWatchers(1)
-		w.learn()
+		w.listAll()
 		w.run(4 * time.Second)
 		next := engineConfiguration(3)
 		next.Routes = make([]fleet.Route, routes)
-		behind := w.pickByWatch(false)
+		behind := w.nodeByWatching(false)
 		for _, name := range w.names() {
 			if name != behind {
-				w.perform(name, w.nodes[name].ConfigurationLearned(next))
+				w.perform(name, w.nodes[name].ConfigurationReceived(next))
 			}
 		}
 		clear(w.refresh)
@@ -336,15 +336,15 @@
 func TestQuestionForInstancesBringsNoConfiguration(t *testing.T) {
 	w := newWorld(9)
 	w.setWatchers(1)
-	w.learn()
+	w.listAll()
 	w.run(4 * time.Second)
 	large := engineConfiguration(2)
 	large.Routes = make([]fleet.Route, 1500)
-	behind := w.pickByWatch(false)
+	behind := w.nodeByWatching(false)
 	w.configurations = 0
 	for _, name := range w.names() {
 		if name != behind {
-			w.perform(name, w.nodes[name].ConfigurationLearned(large))
+			w.perform(name, w.nodes[name].ConfigurationReceived(large))
 			w.perform(name, w.nodes[name].InstancesListed(w.now, listing(9, "i1", "i2", "i3")))
 		}
 	}
@@ -362,7 +362,7 @@
 // then answers. Each of the two changes is logged once.
 func TestSilenceOfAServerIsTold(t *testing.T) {
 	w := newWorld(1)
-	w.learn()
+	w.listAll()
 	w.run(4 * time.Second)
 	for _, answered := range []bool{false, false, true, true} {
 		w.perform("n0", w.nodes["n0"].ReportAnswered(w.now, w.now, "i1", fleet.Report{Residents: []fleet.Resident{{Model: "m"}}, Sequence: 4}, answered))
--- a/coordination/instance_removal_test.go
+++ b/coordination/instanceremoval_test.go
@@ -32,10 +32,10 @@
 	w = newWorld(3)
 	w.setWatchers(1)
 	w.run(3 * time.Second)
-	watcher = w.pickByWatch(true)
+	watcher = w.nodeByWatching(true)
 	others = slices.DeleteFunc(w.names(), func(name string) bool { return name == watcher })
 	for _, name := range w.names() {
-		w.perform(name, w.nodes[name].ConfigurationLearned(engineConfiguration(1)))
+		w.perform(name, w.nodes[name].ConfigurationReceived(engineConfiguration(1)))
 	}
 	return w, watcher, others
 }
--- a/coordination/leaseholder.go
+++ b/coordination/leaseholder.go
@@ -15,7 +15,7 @@
 const releasedRankDelay = 60 * time.Millisecond
 
 func (n *Node) tickLease(now time.Time) {
-	if !n.Known() {
+	if !n.Synced() {
 		return
 	}
 	_, _, ordersAllowed := n.mayOrder(now)
@@ -28,7 +28,7 @@
 		n.holderSeenAt = now
 	}
 	if call := n.lease.Step(now, n.shouldAcquireLease(now)); call != nil {
-		n.do(CallLease{Call: *call})
+		n.enqueue(CallLease{Call: *call})
 	}
 }
 
@@ -66,39 +66,39 @@
 
 func (n *Node) leaseChanged(now time.Time) {
 	fence, _, may := n.mayOrder(now)
-	n.decide("lease", "Changed.", "held", n.held, "fence", fence, "may_order", may, "store_away", n.storeAway())
+	n.logEntry("lease", "Changed.", "held", n.held, "fence", fence, "may_order", may, "store_away", n.storeUnavailable())
 	if !n.held {
 		return
 	}
 	n.holderName = n.self
-	n.book.Resume()
+	n.residencyTracker.DiscardUnanswered()
 	for id := range n.reports {
 		delete(n.reports, id)
 	}
 	// The former holder may have used up the weight store's rate just before.
-	if n.lease.Succeeded() {
+	if n.lease.HadPredecessor() {
 		n.demandWaitUntil = now.Add(n.demandCollectionDelay())
-		n.book.Inherit(now, n.loadsPerSecond())
+		n.residencyTracker.AssumeStoreRateUsed(now, n.loadsPerSecond())
 	}
 }
 
-// StandAside yields the lease to another daemon as long as aside is set, because this daemon can't
+// Yield yields the lease to another daemon as long as aside is set, because this daemon can't
 // send orders to instances.
-func (n *Node) StandAside(now time.Time, aside bool) []Action {
-	n.decide("lease", "Stands aside.", "aside", aside, "held", n.held)
-	n.lease.StandAside(aside)
+func (n *Node) Yield(now time.Time, aside bool) []Action {
+	n.logEntry("lease", "Stands aside.", "aside", aside, "held", n.held)
+	n.lease.Yield(aside)
 	n.tickLease(now)
-	return n.take()
+	return n.takeActions()
 }
 
 // LeaseAnswered processes the outcome of a call for the lease.
 func (n *Node) LeaseAnswered(now time.Time, outcome lease.Outcome, stored lease.Stored) []Action {
 	handedBack := n.lease.HandedBack()
-	n.lease.Answered(now, outcome, stored)
-	n.readOnceMore()
+	n.lease.CallFinished(now, outcome, stored)
+	n.repeatFirstRead()
 	if !handedBack && n.lease.HandedBack() && n.lease.Released() {
 		n.sendRelease(now)
 	}
 	n.tickLease(now)
-	return n.take()
+	return n.takeActions()
 }
--- a/coordination/leaseholder_test.go
+++ b/coordination/leaseholder_test.go
@@ -11,7 +11,7 @@
 
 func TestOneNodeSendsTheOrders(t *testing.T) {
 	w := newWorld(4)
-	w.learn()
+	w.listAll()
 	w.run(3 * time.Second)
 	if len(w.holders()) != 1 || len(w.orders) == 0 {
 		t.Fatalf("holders %v, %d orders", w.holders(), len(w.orders))
@@ -32,7 +32,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(4)
-			w.learn()
+			w.listAll()
 			w.run(5 * time.Second)
 			first := w.holders()[0]
 			inject(w, first)
@@ -55,7 +55,7 @@
 
 func TestStopHandsTheLeaseOver(t *testing.T) {
 	w := newWorld(3)
-	w.learn()
+	w.listAll()
 	w.run(5 * time.Second)
 	first := w.holders()[0]
 	w.perform(first, w.nodes[first].Leave())
@@ -70,7 +70,7 @@
 func TestLeaseThatWasHandedBackIsTakenAtOnce(t *testing.T) {
 	for _, size := range []int{3, manyNodes} {
 		w := newWorld(size)
-		w.learn()
+		w.listAll()
 		w.run(8 * time.Second)
 		for stop := range 2 {
 			first := w.holders()[0]
@@ -99,7 +99,7 @@
 		ids = append(ids, fmt.Sprint("i", i))
 	}
 	for _, name := range w.names() {
-		w.perform(name, w.nodes[name].ConfigurationLearned(configuration))
+		w.perform(name, w.nodes[name].ConfigurationReceived(configuration))
 		w.perform(name, w.nodes[name].InstancesListed(w.now, listing(5, ids...)))
 	}
 	w.run(4 * time.Second)
@@ -138,7 +138,7 @@
 func TestHolderGoesOnWhileTheStoreIsAwayForAll(t *testing.T) {
 	for _, reaches := range []bool{false, true} {
 		w := newWorld(3)
-		w.learn()
+		w.listAll()
 		w.run(5 * time.Second)
 		first := w.holders()[0]
 		for _, name := range w.names() {
@@ -172,7 +172,7 @@
 func TestHolderThatStandsAsideIsReplaced(t *testing.T) {
 	for _, size := range []int{4, manyNodes} {
 		w := newWorld(size)
-		w.learn()
+		w.listAll()
 		w.run(8 * time.Second)
 		first := w.holders()[0]
 		able := w.names()[0]
@@ -181,7 +181,7 @@
 		}
 		for _, name := range w.names() {
 			if name != able {
-				w.perform(name, w.nodes[name].StandAside(w.now, true))
+				w.perform(name, w.nodes[name].Yield(w.now, true))
 			}
 		}
 		w.run(term + time.Second)
@@ -190,7 +190,7 @@
 		}
 		w.dead[able] = true
 		for _, name := range w.names() {
-			w.perform(name, w.nodes[name].StandAside(w.now, false))
+			w.perform(name, w.nodes[name].Yield(w.now, false))
 		}
 		w.run(3 * term)
 		if holders := w.holders(); len(holders) != 1 || holders[0] == able {
--- a/coordination/loadupdate.go
+++ b/coordination/loadupdate.go
@@ -30,7 +30,7 @@
 	sentEvacuations   history.Place
 	broadcastDeltas   balance.LoadDeltas
 	dispatcherDeltas  balance.LoadDeltas
-	partners          partners
+	gossipPeers       gossipPeers
 }
 
 // Urgency is the reason for sending the own load.
@@ -42,23 +42,23 @@
 	UrgencyNone Urgency = iota
 	// UrgencyLoad is used when the load has changed.
 	UrgencyLoad
-	// UrgencyLacking is used when a request has begun to wait for a model or adapter.
-	UrgencyLacking
+	// UrgencyWaiting is used when a request has begun to wait for a model or adapter.
+	UrgencyWaiting
 )
 
-// ObserveOwn records this daemon's requests in progress and its demand, and sends load updates that
+// UpdateOwnLoad records this daemon's requests in progress and its demand, and sends load updates that
 // are due. The caller must not change requests afterwards.
-func (n *Node) ObserveOwn(now time.Time, requests map[string]balance.Load, models []ModelLoad, urgency Urgency) []Action {
+func (n *Node) UpdateOwnLoad(now time.Time, requests map[string]balance.Load, models []ModelLoad, urgency Urgency) []Action {
 	n.demand.own = models
 	load := n.ownLoad(now, requests)
-	state := &n.sharing
+	state := &n.loadUpdates
 	state.changed = state.changed || urgency != UrgencyNone
 	state.dispatcherChanged = state.dispatcherChanged || urgency != UrgencyNone
-	state.newWaiter = state.newWaiter || urgency == UrgencyLacking
-	state.groupWaiter = state.groupWaiter || urgency == UrgencyLacking
+	state.newWaiter = state.newWaiter || urgency == UrgencyWaiting
+	state.groupWaiter = state.groupWaiter || urgency == UrgencyWaiting
 	n.updateDispatcher(now, load, urgency)
 	n.reportDemand(now)
-	interval := n.settings.ShareEvery
+	interval := n.settings.LoadUpdateInterval
 	if state.changed {
 		interval = n.loadUpdateInterval()
 	}
@@ -66,22 +66,22 @@
 	case now.Sub(state.sentAt) >= interval:
 		n.sendLoadUpdate(now, load)
 		state.sentAt, state.changed, state.newWaiter = now, false, false
-	case urgency == UrgencyLacking && !n.held && n.TellsAll():
+	case urgency == UrgencyWaiting && !n.held && n.SendsLoadToAll():
 		demand := load
 		demand.Requests, demand.Changes = nil, true
 		n.sendAll([]string{n.holderName}, Message{From: n.self, Load: &demand})
 	}
-	if urgency == UrgencyLacking && n.held {
-		n.planSoon(now)
+	if urgency == UrgencyWaiting && n.held {
+		n.requestPlan(now)
 	}
-	return n.take()
+	return n.takeActions()
 }
 
 // ownLoad returns the load update of this daemon.
 func (n *Node) ownLoad(now time.Time, requests map[string]balance.Load) Load {
 	load := Load{
 		Requests: requests, Models: n.demand.own, Versions: n.versions(now),
-		StoreAway: n.storeAway(), Watching: n.Watching(now), Watched: n.watched(now),
+		StoreUnavailable: n.storeUnavailable(), Watching: n.Watching(now), WatcherAge: n.watcherAge(now),
 	}
 	if n.held {
 		load.Fence, _, _ = n.mayOrder(now)
@@ -94,19 +94,19 @@
 // updateDispatcher sends the own load to the dispatcher of this group as soon as it changes. It
 // includes the demand for models at each interval, or at once if a request has begun to wait.
 func (n *Node) updateDispatcher(now time.Time, load Load, urgency Urgency) {
-	group, state := n.Group(), &n.sharing
+	group, state := n.Group(), &n.loadUpdates
 	if group.Dispatcher == "" || group.Dispatching {
 		return
 	}
-	lacking := urgency == UrgencyLacking
-	changed := state.dispatcherChanged && now.Sub(state.dispatcherSentAt) >= n.settings.TellPause
-	if !lacking && !changed && !state.dispatcherDeltas.Due(now) {
+	lacking := urgency == UrgencyWaiting
+	changed := state.dispatcherChanged && now.Sub(state.dispatcherSentAt) >= n.settings.DispatcherUpdateInterval
+	if !lacking && !changed && !state.dispatcherDeltas.FullUpdateDue(now) {
 		return
 	}
 	state.dispatcherSentAt, state.dispatcherChanged = now, false
 	load.Requests, load.Changes = state.dispatcherDeltas.Next(now, group.Address, load.Requests)
 	// The lease holder adds its own demand itself.
-	if n.held || !lacking && now.Sub(state.modelsSentAt) < n.settings.ShareEvery {
+	if n.held || !lacking && now.Sub(state.modelsSentAt) < n.settings.LoadUpdateInterval {
 		load.Models, load.NoModels = nil, true
 	} else {
 		state.modelsSentAt = now
@@ -114,7 +114,7 @@
 	if load.NoModels && load.Changes && len(load.Requests) == 0 {
 		return
 	}
-	n.do(SendPeer{Address: group.Address, Message: Message{From: n.self, Load: &load}})
+	n.enqueue(SendPeer{Address: group.Address, Message: Message{From: n.self, Load: &load}})
 }
 
 // sendLoadUpdate sends load updates to other daemons. In a small fleet each daemon sends its load
@@ -122,30 +122,30 @@
 // reportDemand. The other daemons only receive the versions of the sender's collections, and
 // whether it watches the store.
 func (n *Node) sendLoadUpdate(now time.Time, load Load) {
-	if n.TellsAll() {
+	if n.SendsLoadToAll() {
 		n.broadcastLoad(now, n.liveOthers(), load)
 		return
 	}
 	load.Requests, load.Changes = nil, true
-	near, far := n.settings.RestPeers, 1
-	versionsChanged := load.Versions.Configuration != n.sharing.sentConfiguration || load.Versions.Evacuations != n.sharing.sentEvacuations
+	near, far := n.settings.MinZonePeers, 1
+	versionsChanged := load.Versions.Configuration != n.loadUpdates.sentConfiguration || load.Versions.Evacuations != n.loadUpdates.sentEvacuations
 	if load.Watching || versionsChanged {
 		// Instances change all the time, so only daemons that watch the store send their version to
 		// many.
-		near, far = n.settings.MaxPeers, n.settings.FarPeers
+		near, far = n.settings.MaxZonePeers, n.settings.MaxOtherZonePeers
 	}
-	n.sharing.sentConfiguration, n.sharing.sentEvacuations = load.Versions.Configuration, load.Versions.Evacuations
+	n.loadUpdates.sentConfiguration, n.loadUpdates.sentEvacuations = load.Versions.Configuration, load.Versions.Evacuations
 	load.Models, load.NoModels = nil, true
-	n.sendAll(n.sharePeers(now, load.Watching, near, far), Message{From: n.self, Load: &load})
+	n.sendAll(n.gossipReceivers(now, load.Watching, near, far), Message{From: n.self, Load: &load})
 }
 
 // broadcastLoad sends the changes of the own load to all daemons of a small fleet. The demand for
 // models changes less often. It is included at each interval, or if a request has begun to wait.
 func (n *Node) broadcastLoad(now time.Time, others []string, load Load) {
-	state := &n.sharing
+	state := &n.loadUpdates
 	receivers := strconv.FormatUint(n.MembersRevision(), 16)
 	load.Requests, load.Changes = state.broadcastDeltas.Next(now, receivers, load.Requests)
-	if state.newWaiter || now.Sub(state.modelsSentAt) >= n.settings.ShareEvery {
+	if state.newWaiter || now.Sub(state.modelsSentAt) >= n.settings.LoadUpdateInterval {
 		state.modelsSentAt = now
 	} else {
 		load.Models, load.NoModels = nil, true
@@ -162,8 +162,8 @@
 // change. In a large fleet it is the regular interval, since the dispatcher receives changes at
 // once.
 func (n *Node) loadUpdateInterval() time.Duration {
-	if n.detector.LiveCount()-1 <= n.settings.SharePeers {
-		return n.settings.ShareSoon
+	if n.detector.LiveCount()-1 <= n.settings.MaxSmallFleetPeers {
+		return n.settings.MinLoadUpdateInterval
 	}
-	return n.settings.ShareEvery
+	return n.settings.LoadUpdateInterval
 }
--- a/coordination/members.go
+++ b/coordination/members.go
@@ -30,7 +30,7 @@
 			continue
 		}
 		n.loggedMembers[other.Name] = current
-		n.addNews(now, &n.memberNews, current.String(), other.Name+"@"+strconv.FormatUint(other.Incarnation, 10))
+		n.addChange(now, &n.memberChanges, current.String(), other.Name+"@"+strconv.FormatUint(other.Incarnation, 10))
 	}
 }
 
@@ -38,16 +38,18 @@
 // small fleet. There all daemons send updates to all others five times a second.
 const loadFreshness = time.Second
 
-// TellsAll reports whether the fleet is small enough that each daemon sends load updates to all
+// SendsLoadToAll reports whether the fleet is small enough that each daemon sends load updates to all
 // others.
-func (n *Node) TellsAll() bool { return n.detector.LiveCount()-1 <= n.settings.SharePeers }
+func (n *Node) SendsLoadToAll() bool {
+	return n.detector.LiveCount()-1 <= n.settings.MaxSmallFleetPeers
+}
 
-// HeardMembers returns all known daemons. In a small fleet, daemons without a recent load update
+// RecentMembers returns all known daemons. In a small fleet, daemons without a recent load update
 // are marked suspect. A daemon that is cut off from all others suspects only one of them in each
 // probe interval, and must not rely on the rest meanwhile.
-func (n *Node) HeardMembers(now time.Time) []member.Member {
+func (n *Node) RecentMembers(now time.Time) []member.Member {
 	members := n.detector.Members()
-	if !n.TellsAll() {
+	if !n.SendsLoadToAll() {
 		return members
 	}
 	for i := range members {
@@ -77,6 +79,6 @@
 		}
 	}
 	if len(addresses) > 0 {
-		n.do(Broadcast{Addresses: addresses, Message: message})
+		n.enqueue(Broadcast{Addresses: addresses, Message: message})
 	}
 }
--- a/coordination/messages.go
+++ b/coordination/messages.go
@@ -25,34 +25,34 @@
 	Probe *member.Message `msgpack:"p,omitempty"`
 	// Load is the sender's load update.
 	Load *Load `msgpack:"l,omitempty"`
-	// Ask requests what the sender lacks. A receiver with nothing newer reads the store
+	// Request requests what the sender lacks. A receiver with nothing newer reads the store
 	// and answers if it finds something new.
-	Ask *Versions `msgpack:"a,omitempty"`
+	Request *Versions `msgpack:"a,omitempty"`
 	// Configuration, Instances and Evacuations are the responses to Ask.
 	Configuration *fleet.Configuration `msgpack:"c,omitempty"`
 	Instances     *Listing             `msgpack:"i,omitempty"`
 	Evacuations   *EvacuationListing   `msgpack:"z,omitempty"`
-	// Facts are the state of instances by their reports, sent by the lease holder to one daemon
+	// ResidencyReports are the state of instances by their reports, sent by the lease holder to one daemon
 	// that lacks them.
-	Facts []Fact `msgpack:"r,omitempty"`
-	// AskFacts requests all facts from the lease holder.
-	AskFacts bool `msgpack:"q,omitempty"`
-	// Spread is an update of the lease holder to all daemons, forwarded along a multicast tree.
-	Spread *Spread `msgpack:"s,omitempty"`
+	ResidencyReports []ResidencyReport `msgpack:"r,omitempty"`
+	// RequestResidencyReports requests all facts from the lease holder.
+	RequestResidencyReports bool `msgpack:"q,omitempty"`
+	// HolderUpdate is an update of the lease holder to all daemons, forwarded along a multicast tree.
+	HolderUpdate *HolderUpdate `msgpack:"s,omitempty"`
 	// Choose requests an instance from the dispatcher of a group; Chosen is the response.
 	Choose *ChoiceRequest `msgpack:"h,omitempty"`
 	Chosen *Choice        `msgpack:"k,omitempty"`
 	// Group is the load of a whole group, sent by its dispatcher to the other dispatchers.
 	Group *GroupLoad `msgpack:"g,omitempty"`
-	// AskAssurance requests the moment for which the receiver's configuration is known to be the
+	// FreshnessRequest requests the moment for which the receiver's configuration is known to be the
 	// newest; Assurance is the response.
-	AskAssurance *AskAssurance `msgpack:"n,omitempty"`
-	Assurance    *Assurance    `msgpack:"u,omitempty"`
-	// Reads reports that the sender has read the configuration from the store, which other daemons
+	FreshnessRequest  *FreshnessRequest  `msgpack:"n,omitempty"`
+	FreshnessResponse *FreshnessResponse `msgpack:"u,omitempty"`
+	// StoreReader reports that the sender has read the configuration from the store, which other daemons
 	// may be unable to reach.
-	Reads bool `msgpack:"d,omitempty"`
-	// Bulletin broadcasts one daemon's observations to all daemons.
-	Bulletin *Bulletin `msgpack:"x,omitempty"`
+	StoreReader bool `msgpack:"d,omitempty"`
+	// ObservationUpdate broadcasts one daemon's observations to all daemons.
+	ObservationUpdate *ObservationUpdate `msgpack:"x,omitempty"`
 	// TenantLimit is about the limits of tenants, InstanceLimit about limits that instances set
 	// for themselves. InstanceSlot is about the slots of brittle instances, which fall over if they
 	// turn requests away.
@@ -87,9 +87,9 @@
 type Choice struct {
 	ID uint64 `msgpack:"i"`
 	// Instance is empty if the dispatcher has no suitable instance.
-	Instance string       `msgpack:"n,omitempty"`
-	Load     balance.Load `msgpack:"l"`
-	Of       int          `msgpack:"o,omitempty"`
+	Instance       string       `msgpack:"n,omitempty"`
+	Load           balance.Load `msgpack:"l"`
+	CandidateCount int          `msgpack:"o,omitempty"`
 	// Crowded is set if the request should be held back for a moment instead.
 	Crowded bool `msgpack:"c,omitempty"`
 	// Slowness is the ratio of this instance's processing time to that of the typical instance;
@@ -97,8 +97,8 @@
 	Slowness float64 `msgpack:"s,omitempty"`
 }
 
-// Spread is an update of the lease holder to all daemons.
-type Spread struct {
+// HolderUpdate is an update of the lease holder to all daemons.
+type HolderUpdate struct {
 	// Root is the lease holder, Boot identifies its process, and Sequence numbers the updates of
 	// that process. A daemon processes and forwards only updates that are newer than the last one.
 	Root     string `msgpack:"o"`
@@ -109,9 +109,9 @@
 	Lease history.Place `msgpack:"l"`
 	// Released is set if the holder has released the lease; Lease is then the place of that write.
 	Released bool `msgpack:"e,omitempty"`
-	// Facts contains only new facts; Digest covers all facts of the holder.
-	Facts  []Fact `msgpack:"r,omitempty"`
-	Digest uint64 `msgpack:"d"`
+	// ResidencyReports contains only new facts; Digest covers all facts of the holder.
+	ResidencyReports []ResidencyReport `msgpack:"r,omitempty"`
+	Digest           uint64            `msgpack:"d"`
 }
 
 // Load is a daemon's update on its requests in progress and waiting.
@@ -121,11 +121,11 @@
 	Fence uint64 `msgpack:"f,omitempty"`
 	// Watching is set if the sender watches the store.
 	Watching bool `msgpack:"h,omitempty"`
-	// Watched is how long ago the sender itself last received a message from a daemon that watches
+	// WatcherAge is how long ago the sender itself last received a message from a daemon that watches
 	// the store. It is zero if that is too long ago, or if the sender watches the store itself.
-	Watched time.Duration `msgpack:"e,omitempty"`
-	// StoreAway is set if the store does not answer the sender.
-	StoreAway bool `msgpack:"w,omitempty"`
+	WatcherAge time.Duration `msgpack:"e,omitempty"`
+	// StoreUnavailable is set if the store does not answer the sender.
+	StoreUnavailable bool `msgpack:"w,omitempty"`
 	// Lease is the place of the latest renewal; nil if the sender does not hold the lease.
 	Lease *history.Place `msgpack:"l,omitempty"`
 	// Requests is the load by instance. If Changes is set, it contains only what has changed, see
@@ -160,14 +160,14 @@
 type Listing struct {
 	At    history.Place `msgpack:"a"`
 	Since history.Place `msgpack:"s"`
-	// Until is the place up to which removals may be missing, since they happened while the list
+	// ListedUntil is the place up to which removals may be missing, since they happened while the list
 	// was read.
-	Until history.Place `msgpack:"u"`
-	// Changes is set if Items contains changes only. PassedOver is set if some instances that came
+	ListedUntil history.Place `msgpack:"u"`
+	// Changes is set if Items contains changes only. HasGaps is set if some instances that came
 	// and went in between are missing.
-	Changes    bool             `msgpack:"c,omitempty"`
-	PassedOver bool             `msgpack:"g,omitempty"`
-	Items      []ListedInstance `msgpack:"i"`
+	Changes bool             `msgpack:"c,omitempty"`
+	HasGaps bool             `msgpack:"g,omitempty"`
+	Items   []ListedInstance `msgpack:"i"`
 }
 
 // ListedInstance is one instance with the place of its last change. Of a removed instance only the
@@ -209,8 +209,8 @@
 	Software map[string]int `msgpack:"v,omitempty"`
 }
 
-// Fact is what an instance holds according to its report.
-type Fact struct {
+// ResidencyReport is what an instance holds according to its report.
+type ResidencyReport struct {
 	Instance  string           `msgpack:"i"`
 	Sequence  uint64           `msgpack:"q"`
 	Residents []fleet.Resident `msgpack:"r"`
--- a/coordination/node.go
+++ b/coordination/node.go
@@ -20,66 +20,66 @@
 	self     string
 	started  time.Time
 
-	detector      *member.Detector
-	lease         *lease.Lease
-	book          *residency.Book
-	instances     *feed.Mirror[*fleet.Instance]
-	configuration *fleet.Configuration
-	evacuations   *feed.Mirror[fleet.Evacuation]
-	facts         factBook
-	reports       map[string]*reportState
+	detector         *member.Detector
+	lease            *lease.Lease
+	residencyTracker *residency.Tracker
+	instances        *feed.Mirror[*fleet.Instance]
+	configuration    *fleet.Configuration
+	evacuations      *feed.Mirror[fleet.Evacuation]
+	residencyReports reportTracker
+	reports          map[string]*pollState
 	// listedAt is, for each instance, the time of the last list entry with new information.
-	listedAt map[string]time.Time
-	demand   demandState
-	sharing  loadUpdateState
-	peers    map[string]peerState
+	listedAt    map[string]time.Time
+	demand      demandTracker
+	loadUpdates loadUpdateState
+	peers       map[string]peerState
 
 	sources map[Source]*sourceState
 	eras    eraState
-	// departures records which instances have left, whatever the store shows after a restore from a
+	// departureTracker records which instances have left, whatever the store shows after a restore from a
 	// copy.
-	departures    departures
-	departuresAt  time.Time
-	questions     []question
-	loggedMembers map[string]loggedMember
-	applied       appliedRevision
-	// memberNews and instanceNews are changes that have not been logged yet.
-	memberNews     newsList
-	instanceNews   newsList
-	loggedRevision uint64
-	group          *Group
-	groupRevision  uint64
+	departureTracker departureTracker
+	departuresAt     time.Time
+	pendingQueries   []pendingQuery
+	loggedMembers    map[string]loggedMember
+	applied          appliedRevision
+	// memberChanges and instanceChanges are changes that have not been logged yet.
+	memberChanges   changeList
+	instanceChanges changeList
+	loggedRevision  uint64
+	group           *Group
+	groupRevision   uint64
 	// multicastTrees are the multicast trees of the fleet at the members revision treesRevision.
 	multicastTrees *multicastTrees
 	treesRevision  uint64
-	// order lists the live daemons by rank, at the members revision orderAt.
-	order        []string
-	orderAt      uint64
-	rank         int
-	rankRevision uint64
-
-	// watcherAt is the time of the latest evidence, first- or second-hand, of a daemon that watches
-	// the store; watcherHeardAt is the time of the last message directly from such a daemon.
-	watcherAt      time.Time
-	watchUntil     time.Time
-	watcherHeardAt time.Time
-	holderSeenAt   time.Time
-	holderName     string
-	holderFence    uint64
+	// rankedLive lists the live daemons by rank, at the members revision rankedRevision.
+	rankedLive     []string
+	rankedRevision uint64
+	rank           int
+	rankRevision   uint64
+
+	// watcherSeenAt is the time of the latest evidence, first- or second-hand, of a daemon that watches
+	// the store; watcherReceivedAt is the time of the last message directly from such a daemon.
+	watcherSeenAt     time.Time
+	watchUntil        time.Time
+	watcherReceivedAt time.Time
+	holderSeenAt      time.Time
+	holderName        string
+	holderFence       uint64
 	// releasedFence is the fencing token of the last holder that released the lease. The release
 	// was observed at releasedAt.
 	releasedFence uint64
 	releasedAt    time.Time
 	// demandWaitUntil is until when a new lease holder collects demand before it plans; zero if it
 	// does not wait.
-	demandWaitUntil time.Time
-	held            bool
-	plannedAt       time.Time
-	planDue         bool
-	plans           uint64
-	spreading       holderUpdateState
-	bulletins       bulletinState
-	assured         assurance
+	demandWaitUntil    time.Time
+	held               bool
+	plannedAt          time.Time
+	planDue            bool
+	plans              uint64
+	holderUpdates      holderUpdateState
+	observationUpdates observationUpdateState
+	freshness          freshnessState
 	// changed holds the instances whose state in the view is out of date.
 	changed map[string]bool
 	view    *fleet.View
@@ -109,15 +109,15 @@
 	boot := strconv.FormatUint(self.Incarnation, 36) + strconv.FormatUint(random.Uint64(), 36)
 	node := &Node{
 		settings: settings, random: random, self: self.Name, started: now,
-		detector:  member.NewDetector(self, settings.Member, random),
-		lease:     lease.New(self.Name, boot, settings.Lease),
-		book:      residency.NewBook(settings.Residency),
-		instances: feed.NewMirror[*fleet.Instance](), evacuations: feed.NewMirror[fleet.Evacuation](),
-		facts: newFactBook(), departures: newDepartures(), changed: map[string]bool{}, reports: map[string]*reportState{}, listedAt: map[string]time.Time{}, peers: map[string]peerState{},
-		demand: newDemandState(), holderSeenAt: now, watcherAt: now.Add(settings.WatchAfter),
-		view:      fleet.NewView(nil, nil),
-		spreading: newHolderUpdateState(random.Uint64()), bulletins: newBulletinState(random.Uint64()), assured: assurance{sequence: random.Uint64()},
-		loggedMembers: map[string]loggedMember{}, memberNews: newsList{part: "daemons"}, instanceNews: newsList{part: "instances"},
+		detector:         member.NewDetector(self, settings.Member, random),
+		lease:            lease.New(self.Name, boot, settings.Lease),
+		residencyTracker: residency.NewTracker(settings.Residency),
+		instances:        feed.NewMirror[*fleet.Instance](), evacuations: feed.NewMirror[fleet.Evacuation](),
+		residencyReports: newReportTracker(), departureTracker: newDepartureTracker(), changed: map[string]bool{}, reports: map[string]*pollState{}, listedAt: map[string]time.Time{}, peers: map[string]peerState{},
+		demand: newDemandTracker(), holderSeenAt: now, watcherSeenAt: now.Add(settings.WatchDelay),
+		view:          fleet.NewView(nil, nil),
+		holderUpdates: newHolderUpdateState(random.Uint64()), observationUpdates: newObservationUpdateState(random.Uint64()), freshness: freshnessState{sequence: random.Uint64()},
+		loggedMembers: map[string]loggedMember{}, memberChanges: changeList{part: "daemons"}, instanceChanges: changeList{part: "instances"},
 		sources: map[Source]*sourceState{SourceConfiguration: {}, SourceInstances: {}, SourceEvacuations: {}},
 	}
 	node.detector.SetSeeds(seeds)
@@ -127,31 +127,31 @@
 // SetSeeds replaces the addresses through which the daemon joins the fleet.
 func (n *Node) SetSeeds(addresses []string) { n.detector.SetSeeds(addresses) }
 
-// take returns the collected actions and clears them.
-func (n *Node) take() []Action {
+// takeActions returns the collected actions and clears them.
+func (n *Node) takeActions() []Action {
 	actions := n.actions
 	n.actions = nil
 	return actions
 }
 
-func (n *Node) do(action Action) { n.actions = append(n.actions, action) }
+func (n *Node) enqueue(action Action) { n.actions = append(n.actions, action) }
 
-func (n *Node) decide(part, text string, fields ...any) {
-	n.do(Decision{Part: part, Text: text, Fields: fields})
+func (n *Node) logEntry(part, text string, fields ...any) {
+	n.enqueue(LogEntry{Part: part, Text: text, Fields: fields})
 }
 
-// Known reports whether the configuration, the instances and the evacuations have all been
+// Synced reports whether the configuration, the instances and the evacuations have all been
 // received.
-func (n *Node) Known() bool {
-	return n.configuration != nil && n.instances.Known() && n.evacuationsKnown()
+func (n *Node) Synced() bool {
+	return n.configuration != nil && n.instances.Synced() && n.evacuationsSynced()
 }
 
 // Members returns all known daemons, in any state.
 func (n *Node) Members() []member.Member { return n.detector.Members() }
 
-// Holds reports whether this daemon holds the lease on orders, or may send orders during a store
+// HoldsLease reports whether this daemon holds the lease on orders, or may send orders during a store
 // outage as its last holder.
-func (n *Node) Holds(now time.Time) bool {
+func (n *Node) HoldsLease(now time.Time) bool {
 	_, _, ordersAllowed := n.mayOrder(now)
 	return n.lease.Held(now) || ordersAllowed
 }
@@ -163,30 +163,30 @@
 	}
 	n.applyRevision(now)
 	n.logMemberChanges(now)
-	n.logDueNews(now)
+	n.logDueChanges(now)
 	n.tickWatching(now)
 	n.tickSources(now)
-	n.tickEarlier(now)
+	n.dropEarlierEras(now)
 	n.tickDepartures(now)
-	n.tickQuestions(now)
-	n.tickAssurance(now)
+	n.tickPendingQueries(now)
+	n.tickFreshness(now)
 	n.tickLease(now)
 	n.tickReports(now)
 	n.tickHolderUpdates(now)
-	if n.planDue && now.Sub(n.plannedAt) >= n.planInterval() || now.Sub(n.plannedAt) >= n.settings.PlanEvery {
+	if n.planDue && now.Sub(n.plannedAt) >= n.planInterval() || now.Sub(n.plannedAt) >= n.settings.PlanInterval {
 		n.plan(now)
 	}
-	if now.Sub(n.demand.at) >= n.settings.PlanEvery {
+	if now.Sub(n.demand.at) >= n.settings.PlanInterval {
 		// The demand is also averaged without orders to send, so that a new lease holder has the
 		// past demand.
 		n.demand.tick(now, n.settings.DemandHalfLife, n.peers)
 	}
-	return n.take()
+	return n.takeActions()
 }
 
 func (n *Node) sendProbe(packet member.Packet) {
 	message := packet.Message
-	n.do(SendPeer{Address: packet.Address, Message: Message{From: n.self, Probe: &message}})
+	n.enqueue(SendPeer{Address: packet.Address, Message: Message{From: n.self, Probe: &message}})
 }
 
 // Receive processes a message of another daemon.
@@ -199,41 +199,41 @@
 	if message.Load != nil {
 		n.mergeLoad(now, message.From, *message.Load)
 	}
-	if message.Ask != nil {
-		n.answerAsk(message.From, *message.Ask)
-		n.lookFor(now, message.From, *message.Ask)
+	if message.Request != nil {
+		n.answerRequest(message.From, *message.Request)
+		n.refreshForPeer(now, message.From, *message.Request)
 	}
 	if message.Configuration != nil {
-		n.learnConfiguration(message.Configuration)
+		n.applyConfiguration(message.Configuration)
 	}
 	if message.Instances != nil {
-		n.takeListing(now, origin(message.From), message.Instances)
+		n.mergeListing(now, origin(message.From), message.Instances)
 	}
 	if message.Evacuations != nil {
-		n.takeEvacuations(now, origin(message.From), message.Evacuations)
+		n.mergeEvacuations(now, origin(message.From), message.Evacuations)
 	}
-	for _, entry := range message.Facts {
-		n.learn(entry, now.Add(-entry.Age))
+	for _, entry := range message.ResidencyReports {
+		n.mergeResidencyReport(entry, now.Add(-entry.Age))
 	}
-	if message.AskFacts {
+	if message.RequestResidencyReports {
 		n.sendAllFacts(now, message.From)
 	}
-	if message.Spread != nil {
+	if message.HolderUpdate != nil {
 		n.receiveHolderUpdate(now, message)
 	}
-	if message.Bulletin != nil {
-		n.takeBulletin(message.Bulletin)
+	if message.ObservationUpdate != nil {
+		n.receiveObservationUpdate(message.ObservationUpdate)
 	}
-	if message.Reads && n.settings.RevokeWithin > 0 {
-		n.heardReader(now, message.From)
+	if message.StoreReader && n.settings.RevokeWithin > 0 {
+		n.queryStoreReader(now, message.From)
 	}
-	if message.AskAssurance != nil {
-		n.answerAssurance(now, message.From, message.AskAssurance)
+	if message.FreshnessRequest != nil {
+		n.answerFreshness(now, message.From, message.FreshnessRequest)
 	}
-	if message.Assurance != nil {
-		n.takeAssurance(message.From, message.Assurance)
+	if message.FreshnessResponse != nil {
+		n.recordFreshnessResponse(message.From, message.FreshnessResponse)
 	}
-	return n.take()
+	return n.takeActions()
 }
 
 func (n *Node) mergeLoad(now time.Time, from string, load Load) {
@@ -243,17 +243,17 @@
 		load.Models, modelsAt = before.load.Models, before.modelsAt
 	}
 	n.peers[from] = peerState{load: load, at: now, modelsAt: modelsAt}
-	n.hearOfWatcher(now, &load)
-	n.noteVersions(now, from, load.Versions)
+	n.recordWatcher(now, &load)
+	n.recordPeerVersions(now, from, load.Versions)
 	if load.Fence != 0 && load.Lease != nil {
 		n.observeHolder(now, from, load.Fence, *load.Lease)
 	}
 	switch {
 	case !hasWaiting(load):
 	case n.held:
-		n.planSoon(now)
-	case modelsAt.Equal(now) && n.Group().Leads(from):
-		n.sharing.groupWaiter = true
+		n.requestPlan(now)
+	case modelsAt.Equal(now) && n.Group().HasMember(from):
+		n.loadUpdates.groupWaiter = true
 		n.reportDemand(now)
 	}
 }
@@ -266,11 +266,11 @@
 	}
 	n.holderFence = fence
 	if n.holderName != from {
-		n.decide("lease", "Lease holder observed.", "holder", from, "fence", fence)
+		n.logEntry("lease", "Lease holder observed.", "holder", from, "fence", fence)
 	}
 	n.holderName = from
 	n.holderSeenAt = now
-	n.lease.Heard(now, renewal)
+	n.lease.ObserveRenewal(now, renewal)
 }
 
 // observeRelease records that the holder has released the lease. The next holder then need not wait
@@ -279,9 +279,9 @@
 	if fence < n.holderFence || fence <= n.releasedFence {
 		return
 	}
-	n.decide("lease", "Lease released by its holder.", "holder", from, "fence", fence)
+	n.logEntry("lease", "Lease released by its holder.", "holder", from, "fence", fence)
 	n.releasedFence, n.releasedAt = fence, now
-	n.lease.HeardReleased(now, release)
+	n.lease.ObserveRelease(now, release)
 }
 
 // Plans returns how often this daemon has planned since its start.
@@ -297,33 +297,33 @@
 	return false
 }
 
-// ConfigurationLearned applies a configuration if its version is newer than the present one.
-func (n *Node) ConfigurationLearned(configuration *fleet.Configuration) []Action {
-	n.learnConfiguration(configuration)
-	return n.take()
+// ConfigurationReceived applies a configuration if its version is newer than the present one.
+func (n *Node) ConfigurationReceived(configuration *fleet.Configuration) []Action {
+	n.applyConfiguration(configuration)
+	return n.takeActions()
 }
 
-func (n *Node) learnConfiguration(configuration *fleet.Configuration) {
+func (n *Node) applyConfiguration(configuration *fleet.Configuration) {
 	if n.configuration != nil && configuration.Version <= n.configuration.Version {
 		return
 	}
 	n.configuration = configuration
-	n.noteAllCold()
-	n.assureAhead()
-	n.decide("configuration", "Configuration activated.", "version", configuration.Version, "routes", len(configuration.Routes), "services", len(configuration.Services))
+	n.processAllCold()
+	n.applyConfirmedVersion()
+	n.logEntry("configuration", "Configuration activated.", "version", configuration.Version, "routes", len(configuration.Routes), "services", len(configuration.Services))
 }
 
 // InstancesListed applies a full list of instances.
 func (n *Node) InstancesListed(now time.Time, batch feed.Batch[*fleet.Instance]) []Action {
 	n.replaceInstances(now, originStore, batch)
-	return n.take()
+	return n.takeActions()
 }
 
 // InstancesChanged applies changes of instances.
 func (n *Node) InstancesChanged(now time.Time, batch feed.Batch[*fleet.Instance]) []Action {
-	n.learnEra(now, originStore, batch.At.Era)
+	n.recordEra(now, originStore, batch.At.Era)
 	n.instancesChanged(now, originStore, n.instances.Apply(batch), false)
-	return n.take()
+	return n.takeActions()
 }
 
 // InstancesAt returns the place in the store's history up to which the instances are complete.
@@ -332,23 +332,23 @@
 // instancesChanged updates the state that depends on changed instances. Restored is set if the
 // changes are from a list that the store restored from an earlier copy of itself.
 func (n *Node) instancesChanged(now time.Time, from origin, changed []feed.Item[*fleet.Instance], restored bool) {
-	n.noteInstances(now, from, changed)
+	n.recordInstanceChanges(now, from, changed)
 	for _, item := range changed {
-		n.departures.note(now, &item, restored)
+		n.departureTracker.record(now, &item, restored)
 		n.changed[item.Name] = true
 		if item.Gone {
-			n.facts.lose(now, item.Name)
+			n.residencyReports.markGone(now, item.Name)
 			delete(n.reports, item.Name)
 			delete(n.listedAt, item.Name)
-			n.book.Remove(item.Name)
+			n.residencyTracker.RemoveInstance(item.Name)
 			continue
 		}
 		if _, listed := n.listedAt[item.Name]; !listed || !restored {
 			n.listedAt[item.Name] = now
 		}
-		delete(n.facts.gone, item.Name)
-		n.book.Put(n.inUse(item.Value))
-		n.noteCold(item.Value)
+		delete(n.residencyReports.gone, item.Name)
+		n.residencyTracker.UpsertInstance(n.inUse(item.Value))
+		n.processCold(item.Value)
 	}
 }
 
@@ -359,7 +359,7 @@
 func (n *Node) Leave() []Action {
 	n.detector.Leave()
 	n.lease.Leave()
-	return n.take()
+	return n.takeActions()
 }
 
 // Left reports whether the lease is released after Leave.
--- a/coordination/node_test.go
+++ b/coordination/node_test.go
@@ -18,7 +18,7 @@
 	node := w.nodes["n0"]
 	node.InstancesListed(w.now, listing(5, "i1"))
 	for _, version := range []uint64{4, 9, 7, 1} {
-		node.ConfigurationLearned(engineConfiguration(version))
+		node.ConfigurationReceived(engineConfiguration(version))
 	}
 	view, changed := node.TakeView()
 	if !changed || view.Version() != 9 {
@@ -32,7 +32,7 @@
 func TestNothingIsServedBeforeBothAreKnown(t *testing.T) {
 	w := newWorld(1)
 	node := w.nodes["n0"]
-	node.ConfigurationLearned(engineConfiguration(1))
+	node.ConfigurationReceived(engineConfiguration(1))
 	if view, _ := node.TakeView(); view.Configuration() != nil {
 		t.Fatal("the view has a configuration before the instances were listed")
 	}
@@ -61,15 +61,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(3)
 			w.setWatchers(1)
-			w.learn()
+			w.listAll()
 			w.run(3 * time.Second)
-			behind := w.pickByWatch(c.watching)
+			behind := w.nodeByWatching(c.watching)
 			for _, source := range []coordination.Source{coordination.SourceConfiguration, coordination.SourceInstances} {
 				w.perform(behind, w.nodes[behind].SourceAvailable(source, c.available))
 			}
 			for _, name := range w.names() {
 				if name != behind {
-					w.perform(name, w.nodes[name].ConfigurationLearned(engineConfiguration(2)))
+					w.perform(name, w.nodes[name].ConfigurationReceived(engineConfiguration(2)))
 					gone := listing(9, "i3")
 					gone.Items = append(gone.Items, feed.Item[*fleet.Instance]{Name: "i1", Place: history.At(0, 9), Gone: true})
 					w.perform(name, w.nodes[name].InstancesChanged(w.now, gone))
@@ -105,12 +105,12 @@
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(5)
 			w.setWatchers(1)
-			w.learn()
+			w.listAll()
 			w.run(3 * time.Second)
 			if w.watching() != 1 {
 				t.Fatalf("%d nodes watch the store", w.watching())
 			}
-			inject(w, w.pickByWatch(true))
+			inject(w, w.nodeByWatching(true))
 			w.run(time.Second)
 			others := w.watching()
 			if name == "is turned away" {
@@ -127,7 +127,7 @@
 // ranks itself first until it has received messages of the others.
 func TestNoNodeWatchesBeforeItKnowsTheOthers(t *testing.T) {
 	w := newWorld(12)
-	w.learn()
+	w.listAll()
 	maxWatching := 0
 	for range 40 {
 		w.run(50 * time.Millisecond)
@@ -137,7 +137,7 @@
 		t.Errorf("up to %d nodes watched, %d do after two seconds; want %d", maxWatching, w.watching(), limit)
 	}
 	alone := newWorld(1)
-	alone.learn()
+	alone.listAll()
 	alone.run(2 * time.Second)
 	if alone.watching() != 1 {
 		t.Error("a node without others does not watch the store")
@@ -148,7 +148,7 @@
 // and that all nodes receive it.
 func TestReportBeatsAnOldList(t *testing.T) {
 	w := newWorld(2)
-	w.learn()
+	w.listAll()
 	w.run(2 * time.Second)
 	holder := w.holders()[0]
 	report := fleet.Report{Residents: []fleet.Resident{{Model: "m"}, {Model: "n"}}, Sequence: 6}
@@ -166,7 +166,7 @@
 func TestNodeThatStartsLateHearsWhatServersHold(t *testing.T) {
 	w := newWorld(3)
 	w.dead["n2"] = true
-	w.learn()
+	w.listAll()
 	w.run(5 * time.Second)
 	w.dead["n2"] = false
 	w.run(800 * time.Millisecond)
@@ -174,7 +174,7 @@
 	if view == nil || view.Instance("i1").Resident("m") == nil || len(w.holders()) != 1 {
 		t.Fatalf("view %v, holders %v", view, w.holders())
 	}
-	if !w.nodes["n2"].KnowsReport("i1") {
+	if !w.nodes["n2"].HasResidencyReport("i1") {
 		t.Fatal("the report of i1 is missing")
 	}
 }
@@ -183,7 +183,7 @@
 // configuration and an instance.
 func TestChangesOfBeliefAreTold(t *testing.T) {
 	w := newWorld(3)
-	w.learn()
+	w.listAll()
 	w.run(4 * time.Second)
 	w.dead["n1"] = true
 	w.run(20 * time.Second)
@@ -237,8 +237,8 @@
 	w := newWorld(2)
 	w.setWatchers(1)
 	w.run(2 * time.Second)
-	reader, receiver := w.pickByWatch(true), w.pickByWatch(false)
-	w.perform(reader, w.nodes[reader].ConfigurationLearned(engineConfiguration(1)))
+	reader, receiver := w.nodeByWatching(true), w.nodeByWatching(false)
+	w.perform(reader, w.nodes[reader].ConfigurationReceived(engineConfiguration(1)))
 	w.perform(reader, w.nodes[reader].InstancesListed(w.now, listing(5, "i1")))
 	w.run(3 * time.Second)
 	for _, want := range []string{reader + " instances count 1 over_ms 0 from store present i1@5", receiver + " instances count 1 over_ms 0 from " + reader + " present i1@5"} {
--- a/coordination/observation_update.go
+++ b/coordination/observationupdate.go
@@ -8,8 +8,8 @@
 	"github.com/wheatweir/wheatweir/quarantine"
 )
 
-// Bulletin broadcasts to all daemons what one of them has observed.
-type Bulletin struct {
+// ObservationUpdate broadcasts to all daemons what one of them has observed.
+type ObservationUpdate struct {
 	// Root is the daemon that made the observation, Boot identifies its process, and Sequence numbers
 	// the messages of that process. Without a root the message is for its receiver only.
 	Root     string `msgpack:"o,omitempty"`
@@ -24,91 +24,91 @@
 	Brittle brittle.Update `msgpack:"t"`
 }
 
-// bulletinState holds the sequence of the bulletins sent and the bulletins received from each daemon.
-type bulletinState struct {
+// observationUpdateState holds the sequence of the bulletins sent and the bulletins received from each daemon.
+type observationUpdateState struct {
 	boot     uint64
 	sequence uint64
 	// received holds, for each daemon, the messages that were already forwarded.
 	received map[string]*seenMessages
 }
 
-func newBulletinState(boot uint64) bulletinState {
-	return bulletinState{boot: boot, received: map[string]*seenMessages{}}
+func newObservationUpdateState(boot uint64) observationUpdateState {
+	return observationUpdateState{boot: boot, received: map[string]*seenMessages{}}
 }
 
-// TellCrashes broadcasts crashes of instances to all daemons.
-func (n *Node) TellCrashes(update quarantine.Update) []Action {
-	n.broadcastBulletin(Bulletin{Crashes: update})
-	return n.take()
+// BroadcastCrashes broadcasts crashes of instances to all daemons.
+func (n *Node) BroadcastCrashes(update quarantine.Update) []Action {
+	n.broadcastObservation(ObservationUpdate{Crashes: update})
+	return n.takeActions()
 }
 
-// TellNotices broadcasts to all daemons what instances stated about themselves to this one.
-func (n *Node) TellNotices(update notice.Update) []Action {
-	n.broadcastBulletin(Bulletin{Notices: update})
-	return n.take()
+// BroadcastNotices broadcasts to all daemons what instances stated about themselves to this one.
+func (n *Node) BroadcastNotices(update notice.Update) []Action {
+	n.broadcastObservation(ObservationUpdate{Notices: update})
+	return n.takeActions()
 }
 
-// TellBrittle broadcasts to all daemons which services declared to this one whether they are brittle.
-func (n *Node) TellBrittle(update brittle.Update) []Action {
-	n.broadcastBulletin(Bulletin{Brittle: update})
-	return n.take()
+// BroadcastBrittle broadcasts to all daemons which services declared to this one whether they are brittle.
+func (n *Node) BroadcastBrittle(update brittle.Update) []Action {
+	n.broadcastObservation(ObservationUpdate{Brittle: update})
+	return n.takeActions()
 }
 
 // InstanceLimited records whether an instance accepts only a few requests from all daemons together.
 func (n *Node) InstanceLimited(now time.Time, instance string, limited bool) []Action {
-	n.book.SetLimited(instance, limited)
+	n.residencyTracker.SetLimited(instance, limited)
 	if n.held {
-		n.planSoon(now)
+		n.requestPlan(now)
 	}
-	return n.take()
+	return n.takeActions()
 }
 
 // InstanceCrashed records that the address of an instance refused a connection at a moment.
 func (n *Node) InstanceCrashed(at, now time.Time, instance string) []Action {
-	n.book.Crashed(at, instance)
+	n.residencyTracker.RecordCrash(at, instance)
 	if n.held {
-		n.planSoon(now)
+		n.requestPlan(now)
 	}
-	return n.take()
+	return n.takeActions()
 }
 
-func (n *Node) broadcastBulletin(bulletin Bulletin) {
-	state := &n.bulletins
+func (n *Node) broadcastObservation(bulletin ObservationUpdate) {
+	state := &n.observationUpdates
 	state.sequence++
 	bulletin.Root, bulletin.Boot, bulletin.Sequence = n.self, state.boot, state.sequence
-	n.forwardBulletin(&bulletin)
+	n.forwardObservation(&bulletin)
 }
 
-func (n *Node) forwardBulletin(bulletin *Bulletin) {
-	n.passBelow(bulletin.Root, bulletin.Sequence, Message{From: n.self, Bulletin: bulletin})
+func (n *Node) forwardObservation(bulletin *ObservationUpdate) {
+	n.forwardToChildren(bulletin.Root, bulletin.Sequence, Message{From: n.self, ObservationUpdate: bulletin})
 }
 
-// takeBulletin processes a message and forwards it the first time it is received. Forwarding it again
+// receiveObservationUpdate processes a message and forwards it the first time it is received. Forwarding it again
 // could loop for ever while the daemons' trees differ. Messages of one daemon alternate between trees
 // and may overtake each other.
-func (n *Node) takeBulletin(bulletin *Bulletin) {
+func (n *Node) receiveObservationUpdate(bulletin *ObservationUpdate) {
 	if bulletin.Root == n.self {
 		return
 	}
 	if bulletin.Root != "" {
-		seen := n.bulletins.received[bulletin.Root]
+		seen := n.observationUpdates.received[bulletin.Root]
 		if seen == nil || seen.boot != bulletin.Boot {
 			seen = &seenMessages{boot: bulletin.Boot}
-			n.bulletins.received[bulletin.Root] = seen
+			n.observationUpdates.received[bulletin.Root] = seen
 		}
 		if !seen.markSeen(bulletin.Sequence) {
 			return
 		}
-		n.forwardBulletin(bulletin)
+		n.forwardObservation(bulletin)
 	}
 	if !bulletin.Crashes.Empty() {
-		n.do(LearnCrashes{Update: bulletin.Crashes})
+		n.enqueue(CrashesReceived{Update: bulletin.Crashes})
 	}
 	if !bulletin.Notices.Empty() {
-		n.do(LearnNotices{Update: bulletin.Notices})
+		n.enqueue(NoticesReceived{Update: bulletin.Notices})
 	}
 	if !bulletin.Brittle.Empty() {
-		n.do(LearnBrittle{Update: bulletin.Brittle})
+		n.enqueue(BrittleReceived{Update: bulletin.Brittle})
 	}
 }
 
--- a/coordination/observation_update_test.go
+++ b/coordination/observationupdate_test.go
@@ -18,7 +18,7 @@
 
 func newCrashWorld(nodes int) *crashWorld {
 	w := &crashWorld{world: newWorld(nodes), received: map[string]map[string]int{}}
-	w.learnCrashes = func(node string, update quarantine.Update) {
+	w.onCrashes = func(node string, update quarantine.Update) {
 		if w.received[node] == nil {
 			w.received[node] = map[string]int{}
 		}
@@ -28,15 +28,15 @@
 			}
 		}
 	}
-	w.learn()
+	w.listAll()
 	w.run(10 * time.Second)
 	return w
 }
 
 // broadcastCrash has a node broadcast the crash of a server.
 func (w *crashWorld) broadcastCrash(node, server string) {
-	update := quarantine.Update{Items: []quarantine.Item{{Crashes: []quarantine.Told{{Server: server}}}}}
-	w.perform(node, w.nodes[node].TellCrashes(update))
+	update := quarantine.Update{Items: []quarantine.Item{{Crashes: []quarantine.CrashReport{{Server: server}}}}}
+	w.perform(node, w.nodes[node].BroadcastCrashes(update))
 }
 
 // countUninformed counts the live nodes, except the sender, that have not received a crash.
@@ -105,8 +105,8 @@
 func TestNewsOfCrashesInAnotherOrder(t *testing.T) {
 	w := newCrashWorld(3)
 	receive := func(root string, boot, sequence uint64, server string) {
-		update := quarantine.Update{Items: []quarantine.Item{{Crashes: []quarantine.Told{{Server: server}}}}}
-		message := coordination.Message{From: "n1", Bulletin: &coordination.Bulletin{Root: root, Boot: boot, Sequence: sequence, Crashes: update}}
+		update := quarantine.Update{Items: []quarantine.Item{{Crashes: []quarantine.CrashReport{{Server: server}}}}}
+		message := coordination.Message{From: "n1", ObservationUpdate: &coordination.ObservationUpdate{Root: root, Boot: boot, Sequence: sequence, Crashes: update}}
 		w.perform("n0", w.nodes["n0"].Receive(w.now, message))
 	}
 	for _, sequence := range []uint64{2, 1, 2, 1, 70, 69, 7, 5, 70} {
--- a/coordination/orders.go
+++ b/coordination/orders.go
@@ -25,9 +25,9 @@
 	return rate
 }
 
-// planSoon plans now, or at a later tick if the last plan is too recent. Reports and answers of
+// requestPlan plans now, or at a later tick if the last plan is too recent. Reports and answers of
 // many instances arrive together, and each plan examines all instances.
-func (n *Node) planSoon(now time.Time) {
+func (n *Node) requestPlan(now time.Time) {
 	if now.Sub(n.plannedAt) < n.planInterval() {
 		n.planDue = true
 		return
@@ -38,7 +38,7 @@
 // planInterval is the minimum interval between two plans. It grows with the number of instances,
 // since each plan examines all of them, and with many there is always a new report to plan for.
 func (n *Node) planInterval() time.Duration {
-	return max(n.settings.PlanPause, time.Duration(len(n.reports))*n.settings.PlanServerPause)
+	return max(n.settings.MinPlanInterval, time.Duration(len(n.reports))*n.settings.PlanIntervalPerInstance)
 }
 
 // plan decides which orders to send, and sends them if this daemon may.
@@ -50,27 +50,27 @@
 		return
 	}
 	n.demand.tick(now, n.settings.DemandHalfLife, n.peers)
-	orders := n.book.Resend(now)
+	orders := n.residencyTracker.DueResends(now)
 	for i := range n.configuration.Services {
 		service := &n.configuration.Services[i]
 		if service.Engine != nil {
-			orders = append(orders, n.book.Plan(now, n.plannerService(service), n.demand.of(service.Name))...)
+			orders = append(orders, n.residencyTracker.Plan(now, n.plannerService(service), n.demand.of(service.Name))...)
 		}
 	}
 	for _, order := range orders {
-		n.book.Sending(now, order)
+		n.residencyTracker.RecordSending(now, order)
 		if !order.Load {
 			n.publishUnload(now, order)
 		}
-		n.decide("orders", "Sent.", "instance", order.Instance, "load", order.Load, "model", order.Model, "adapter", order.Adapter,
+		n.logEntry("orders", "Sent.", "instance", order.Instance, "load", order.Load, "model", order.Model, "adapter", order.Adapter,
 			"from_store", order.FromStore, "expected", order.Expected, "fence", fence, "reason", order.Reason)
-		n.do(SendOrder{Order: order, Fence: fence, Until: until})
+		n.enqueue(SendOrder{Order: order, Fence: fence, Until: until})
 	}
 }
 
 // plannerService converts a service into the planner's representation.
 func (n *Node) plannerService(service *fleet.Service) *residency.Service {
-	return &residency.Service{Name: service.Name, Engine: service.Engine, Patience: n.configuration.FirstEventPatience(service.Name)}
+	return &residency.Service{Name: service.Name, Engine: service.Engine, ClientTimeout: n.configuration.FirstEventTimeout(service.Name)}
 }
 
 // ParkedModels returns the number of parked models, which have no replica because they are idle,
@@ -79,34 +79,34 @@
 	if !n.held {
 		return 0
 	}
-	return n.book.Parked()
+	return n.residencyTracker.ParkedCount()
 }
 
 // publishUnload notifies all daemons, before the order is sent, not to send requests for what is
 // about to be unloaded. It does not wait for the interval after the last update, since the instance
 // may decline such requests as soon as it has the order.
 func (n *Node) publishUnload(now time.Time, order residency.Order) {
-	n.tellFact(now, now, order.Instance, order.Expected)
-	if n.spreading.due[order.Instance] {
-		n.spread(now)
+	n.publishResidencyReport(now, now, order.Instance, order.Expected)
+	if n.holderUpdates.due[order.Instance] {
+		n.sendHolderUpdate(now)
 	}
 }
 
 // OrderAnswered processes the outcome of an order.
 func (n *Node) OrderAnswered(now time.Time, order residency.Order, answer residency.Answer) []Action {
-	n.book.Answered(now, order, answer)
+	n.residencyTracker.RecordAnswer(now, order, answer)
 	if answer == residency.AnswerDone {
-		n.tellFact(now, now, order.Instance, order.Expected+1)
+		n.publishResidencyReport(now, now, order.Instance, order.Expected+1)
 	}
-	if answer != residency.AnswerTaken && answer != residency.AnswerDone {
-		n.decide("orders", "Order not confirmed by the instance.", "instance", order.Instance, "model", order.Model, "adapter", order.Adapter, "answer", answer.String())
+	if answer != residency.AnswerAccepted && answer != residency.AnswerDone {
+		n.logEntry("orders", "Order not confirmed by the instance.", "instance", order.Instance, "model", order.Model, "adapter", order.Adapter, "answer", answer.String())
 	}
 	if answer == residency.AnswerFenced {
-		n.lease.Lost()
+		n.lease.Revoke()
 	}
 	if state := n.reports[order.Instance]; state != nil {
-		state.next = now.Add(n.settings.ReportSoon)
+		state.nextPollAt = now.Add(n.settings.ReportDelay)
 	}
-	n.planSoon(now)
-	return n.take()
+	n.requestPlan(now)
+	return n.takeActions()
 }
--- a/coordination/parking_test.go
+++ b/coordination/parking_test.go
@@ -28,7 +28,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(1)
 			w.reports = map[string]fleet.Report{"i1": reportHolding("m", "n"), "i2": reportHolding("o", "p")}
-			w.perform("n0", w.nodes["n0"].ConfigurationLearned(parkingConfiguration(c.latency)))
+			w.perform("n0", w.nodes["n0"].ConfigurationReceived(parkingConfiguration(c.latency)))
 			batch := listing(5, "i1", "i2")
 			for _, item := range batch.Items {
 				item.Value.Residents = w.reports[item.Name].Residents
@@ -37,7 +37,7 @@
 			models := []coordination.ModelLoad{{Service: "llm", Model: "m", Requests: 6, PerSecond: 20, Refused: c.refused}}
 			maxParked := 0
 			for end := w.now.Add(10 * time.Second); w.now.Before(end); w.now = w.now.Add(50 * time.Millisecond) {
-				w.perform("n0", w.nodes["n0"].ObserveOwn(w.now, map[string]balance.Load{}, models, coordination.UrgencyNone))
+				w.perform("n0", w.nodes["n0"].UpdateOwnLoad(w.now, map[string]balance.Load{}, models, coordination.UrgencyNone))
 				w.perform("n0", w.nodes["n0"].Tick(w.now))
 				maxParked = max(maxParked, w.nodes["n0"].ParkedModels())
 			}
--- a/coordination/prompt_part_quarantine_test.go
+++ b/coordination/promptpartquarantine_test.go
@@ -43,7 +43,7 @@
 type partFleet struct {
 	*world
 	random   *rand.Rand
-	trackers map[string]*quarantine.Book
+	trackers map[string]*quarantine.Tracker
 	servedAt map[string]map[quarantine.Digest]time.Time
 	// disturbedAt is when a daemon was last disturbed.
 	disturbedAt map[string]time.Time
@@ -78,15 +78,15 @@
 
 func newPartFleet(size int) *partFleet {
 	f := &partFleet{
-		world: newWorld(size), random: rand.New(rand.NewPCG(uint64(size), 66)), trackers: map[string]*quarantine.Book{},
+		world: newWorld(size), random: rand.New(rand.NewPCG(uint64(size), 66)), trackers: map[string]*quarantine.Tracker{},
 		servedAt: map[string]map[quarantine.Digest]time.Time{}, disturbedAt: map[string]time.Time{}, frozen: map[string]bool{},
 		stored: map[quarantine.Digest]quarantine.Item{}, nextTurnAt: map[quarantine.Digest]time.Time{},
 	}
-	f.learnCrashes = func(node string, update quarantine.Update) { f.mergeAt(node, update) }
-	f.learn()
+	f.onCrashes = func(node string, update quarantine.Update) { f.mergeAt(node, update) }
+	f.listAll()
 	f.world.run(10 * time.Second)
 	for _, name := range f.names() {
-		f.trackers[name], f.servedAt[name] = quarantine.NewBook(), map[quarantine.Digest]time.Time{}
+		f.trackers[name], f.servedAt[name] = quarantine.NewTracker(), map[quarantine.Digest]time.Time{}
 	}
 	f.latency = func() time.Duration { return time.Duration(f.random.Int64N(int64(partLatency))) }
 	return f
@@ -94,10 +94,10 @@
 
 // mergeAt has a daemon merge an update, and clear the parts that occur in its own successful responses.
 func (f *partFleet) mergeAt(node string, update quarantine.Update) {
-	f.storeDurable(node, f.trackers[node].Learn(f.now, update))
+	f.storeDurable(node, f.trackers[node].Merge(f.now, update))
 	for _, item := range update.Items {
 		if at := f.servedAt[node][item.Digest]; item.Kind == quarantine.KindPart && !at.IsZero() && f.now.Sub(at) < servedTTL {
-			f.storeDurable(node, f.trackers[node].Served(f.now, item.Digest))
+			f.storeDurable(node, f.trackers[node].RecordSuccess(f.now, item.Digest))
 		}
 	}
 }
@@ -105,7 +105,7 @@
 // storeDurable writes evidence to the store that must outlast the daemons.
 func (f *partFleet) storeDurable(node string, change quarantine.Change) {
 	for _, digest := range change.Durable {
-		if f.trackers[node].Witnessed(digest) {
+		if f.trackers[node].ObservedLocally(digest) {
 			f.after(storeWriteDelay, func() { f.stored[digest] = f.trackers[node].Evidence(f.now, digest) })
 		}
 	}
@@ -118,8 +118,8 @@
 // broadcastChange has a daemon broadcast a change to all others.
 func (f *partFleet) broadcastChange(node string, change quarantine.Change) {
 	f.storeDurable(node, change)
-	if !change.News.Empty() && !f.dead[node] {
-		f.perform(node, f.nodes[node].TellCrashes(change.News))
+	if !change.Added.Empty() && !f.dead[node] {
+		f.perform(node, f.nodes[node].BroadcastCrashes(change.Added))
 	}
 }
 
@@ -162,10 +162,10 @@
 }
 
 func (f *partFleet) gossip(name string) {
-	update := f.trackers[name].Newest(f.now, 5*time.Second)
+	update := f.trackers[name].Snapshot(f.now, 5*time.Second)
 	to := f.names()[f.random.IntN(len(f.names()))]
 	if !update.Empty() && to != name {
-		f.perform(name, []coordination.Action{coordination.SendPeer{Address: to, Message: coordination.Message{From: name, Bulletin: &coordination.Bulletin{Crashes: update}}}})
+		f.perform(name, []coordination.Action{coordination.SendPeer{Address: to, Message: coordination.Message{From: name, ObservationUpdate: &coordination.ObservationUpdate{Crashes: update}}}})
 	}
 }
 
@@ -214,7 +214,7 @@
 		}
 		for _, part := range request.Parts {
 			f.servedAt[name][part.Digest] = f.now
-			f.broadcastChange(name, f.trackers[name].Served(f.now, part.Digest))
+			f.broadcastChange(name, f.trackers[name].RecordSuccess(f.now, part.Digest))
 		}
 	})
 }
@@ -243,13 +243,13 @@
 	if f.dead[name] || f.frozen[name] {
 		return
 	}
-	victim := quarantine.Victim{Content: request.Content, Began: began}
+	victim := quarantine.InterruptedRequest{Content: request.Content, Began: began}
 	for _, part := range request.Parts {
 		if at := f.servedAt[name][part.Digest]; at.IsZero() || f.now.Sub(at) >= servedTTL {
 			victim.Parts = append(victim.Parts, part)
 		}
 	}
-	f.broadcastChange(name, f.trackers[name].Crashed(f.now, f.now, server, []quarantine.Victim{victim}))
+	f.broadcastChange(name, f.trackers[name].RecordCrash(f.now, f.now, server, []quarantine.InterruptedRequest{victim}))
 }
 
 // kill ends a daemon. It restarts some time later without state, and reads the evidence in the store.
@@ -257,10 +257,10 @@
 	f.dead[name], f.disturbedAt[name] = true, f.now.Add(downtime)
 	f.after(downtime, func() {
 		f.dead[name] = false
-		f.rebuildOne(name, uint64(f.now.UnixNano()), f.random)
-		f.perform(name, f.nodes[name].ConfigurationLearned(engineConfiguration(1)))
+		f.recreateOne(name, uint64(f.now.UnixNano()), f.random)
+		f.perform(name, f.nodes[name].ConfigurationReceived(engineConfiguration(1)))
 		f.perform(name, f.nodes[name].InstancesListed(f.now, listing(5, "i1", "i2")))
-		f.trackers[name], f.servedAt[name] = quarantine.NewBook(), map[quarantine.Digest]time.Time{}
+		f.trackers[name], f.servedAt[name] = quarantine.NewTracker(), map[quarantine.Digest]time.Time{}
 		for _, item := range f.stored {
 			f.mergeAt(name, quarantine.Update{Items: []quarantine.Item{item}})
 		}
@@ -363,11 +363,11 @@
 				}
 				bytes := 0
 				for number := range 18 {
-					victim := quarantine.Victim{Content: digestOf(fmt.Sprint("c", number)), Began: f.now}
+					victim := quarantine.InterruptedRequest{Content: digestOf(fmt.Sprint("c", number)), Began: f.now}
 					victim.Parts = []quarantine.Part{{Digest: digestOf(fmt.Sprint("p", number))}}
 					name := fmt.Sprint("n", number%size)
-					change := f.trackers[name].Crashed(f.now, f.now, "server", []quarantine.Victim{victim})
-					encoded, err := msgpack.Marshal(change.News)
+					change := f.trackers[name].RecordCrash(f.now, f.now, "server", []quarantine.InterruptedRequest{victim})
+					encoded, err := msgpack.Marshal(change.Added)
 					if err != nil {
 						b.Fatal(err)
 					}
--- a/coordination/receive_test.go
+++ b/coordination/receive_test.go
@@ -19,9 +19,9 @@
 		{From: "n1"},
 		{From: "n1", Load: &coordination.Load{Versions: coordination.Versions{Configuration: 9, Instances: history.At(0, 9)}, Fence: 3}},
 		{From: "n1", Configuration: engineConfiguration(7), Instances: &coordination.Listing{At: history.At(0, 9), Items: []coordination.ListedInstance{{Place: history.At(0, 9)}}}},
-		{From: "n1", Facts: []coordination.Fact{{Instance: "i1", Sequence: 1}}, AskFacts: true, Ask: &coordination.Versions{}},
-		{From: "n1", Spread: &coordination.Spread{Root: "n1", Boot: 1, Sequence: 1, Fence: 2}, Reads: true},
-		{From: "n1", AskAssurance: &coordination.AskAssurance{}, Assurance: &coordination.Assurance{Version: 1 << 60, Age: -1}},
+		{From: "n1", ResidencyReports: []coordination.ResidencyReport{{Instance: "i1", Sequence: 1}}, RequestResidencyReports: true, Request: &coordination.Versions{}},
+		{From: "n1", HolderUpdate: &coordination.HolderUpdate{Root: "n1", Boot: 1, Sequence: 1, Fence: 2}, StoreReader: true},
+		{From: "n1", FreshnessRequest: &coordination.FreshnessRequest{}, FreshnessResponse: &coordination.FreshnessResponse{Version: 1 << 60, Age: -1}},
 	} {
 		encoded, err := msgpack.Marshal(&message)
 		if err != nil {
@@ -38,7 +38,7 @@
 		w.run(500 * time.Millisecond)
 		w.perform("n0", w.nodes["n0"].Receive(w.now, message))
 		w.run(300 * time.Millisecond)
-		if !w.nodes["n0"].Known() {
+		if !w.nodes["n0"].Synced() {
 			t.Error("the node has lost its data")
 		}
 	})
@@ -48,18 +48,18 @@
 // outage of the store. Reports on the instance are accepted again.
 func TestInstanceThatIsListedAgainIsHeardOf(t *testing.T) {
 	w := newWorld(1)
-	w.learn()
+	w.listAll()
 	node := w.nodes["n0"]
-	fact := []coordination.Fact{{Instance: "i1", Sequence: 7, Residents: []fleet.Resident{{Model: "n"}}}}
+	fact := []coordination.ResidencyReport{{Instance: "i1", Sequence: 7, Residents: []fleet.Resident{{Model: "n"}}}}
 	gone := feed.Batch[*fleet.Instance]{At: history.At(0, 6), Items: []feed.Item[*fleet.Instance]{{Name: "i1", Place: history.At(0, 6), Gone: true}}}
 	w.perform("n0", node.InstancesChanged(w.now, gone))
-	w.perform("n0", node.Receive(w.now, coordination.Message{From: "n1", Facts: fact}))
-	if node.KnowsReport("i1") {
+	w.perform("n0", node.Receive(w.now, coordination.Message{From: "n1", ResidencyReports: fact}))
+	if node.HasResidencyReport("i1") {
 		t.Fatal("a report on an instance that is gone is accepted")
 	}
 	w.perform("n0", node.InstancesChanged(w.now, listing(8, "i1")))
-	w.perform("n0", node.Receive(w.now, coordination.Message{From: "n1", Facts: fact}))
-	if !node.KnowsReport("i1") {
+	w.perform("n0", node.Receive(w.now, coordination.Message{From: "n1", ResidencyReports: fact}))
+	if !node.HasResidencyReport("i1") {
 		t.Error("a report on an instance that is listed again is ignored")
 	}
 }
--- a/coordination/refused_requests_test.go
+++ b/coordination/refusedrequests_test.go
@@ -28,7 +28,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			demand := newDemandState()
+			demand := newDemandTracker()
 			demand.own = []ModelLoad{{Service: "llm", Model: "m", Requests: 3, PerSecond: 4, Refused: 2}}
 			peers := map[string]peerState{"peer": {
 				at: now, modelsAt: now, load: Load{Models: []ModelLoad{{Service: "llm", Model: "m", Requests: 1, PerSecond: c.perSecond, Refused: c.refused}}},
--- a/coordination/report_polling.go
+++ b/coordination/reportpolling.go
@@ -6,16 +6,16 @@
 	"github.com/wheatweir/wheatweir/fleet"
 )
 
-// reportState is the state of polling the reports of one instance.
-type reportState struct {
-	next    time.Time
-	pending bool
+// pollState is the state of polling the reports of one instance.
+type pollState struct {
+	nextPollAt time.Time
+	pending    bool
 	// backoffUntil is when a backoff ends that the instance requested from this daemon.
 	backoffUntil time.Time
 	// unanswered means that the last poll was not answered.
 	unanswered bool
 	// sent is the last residency report that was broadcast to the other daemons.
-	sent Fact
+	sent ResidencyReport
 }
 
 // tickReports polls the reports of all instances, if this daemon sends the orders.
@@ -33,9 +33,9 @@
 			continue
 		}
 		state := n.reportStateOf(instance.ID)
-		if !state.pending && !now.Before(state.next) && !now.Before(state.backoffUntil) {
+		if !state.pending && !now.Before(state.nextPollAt) && !now.Before(state.backoffUntil) {
 			state.pending = true
-			n.do(AskReport{Instance: instance.ID, Address: instance.Address})
+			n.enqueue(RequestReport{Instance: instance.ID, Address: instance.Address})
 		}
 	}
 }
@@ -43,49 +43,49 @@
 // pollInterval returns the interval between two polls of an idle instance. It grows with the number of
 // instances, since one daemon polls all of them.
 func (n *Node) pollInterval() time.Duration {
-	return max(n.settings.ReportEvery, time.Duration(len(n.reports))*n.settings.ReportCost)
+	return max(n.settings.ReportInterval, time.Duration(len(n.reports))*n.settings.ReportIntervalPerInstance)
 }
 
-func (n *Node) reportStateOf(instance string) *reportState {
+func (n *Node) reportStateOf(instance string) *pollState {
 	state := n.reports[instance]
 	if state == nil {
-		state = &reportState{}
+		state = &pollState{}
 		n.reports[instance] = state
 	}
 	return state
 }
 
-// InstanceRests records that an instance requested a backoff: this daemon sends it neither polls nor
+// BackOffInstance records that an instance requested a backoff: this daemon sends it neither polls nor
 // orders until then.
-func (n *Node) InstanceRests(instance string, until time.Time) []Action {
+func (n *Node) BackOffInstance(instance string, until time.Time) []Action {
 	if _, listed := n.instances.Get(instance); listed {
 		n.reportStateOf(instance).backoffUntil = until
-		n.book.LeaveAlone(instance, until)
+		n.residencyTracker.BackOff(instance, until)
 	}
-	return n.take()
+	return n.takeActions()
 }
 
 // ReportAnswered processes a report, or a poll that was not answered.
 func (n *Node) ReportAnswered(askedAt, now time.Time, instance string, report fleet.Report, ok bool) []Action {
 	state := n.reports[instance]
 	if state == nil {
-		return n.take()
+		return n.takeActions()
 	}
 	state.pending = false
-	state.next = now.Add(n.pollInterval())
+	state.nextPollAt = now.Add(n.pollInterval())
 	if state.unanswered == ok {
 		state.unanswered = !ok
-		n.decide("instances", "Report polls of an instance started or stopped being answered.", "instance", instance, "answered", ok)
+		n.logEntry("instances", "Report polls of an instance started or stopped being answered.", "instance", instance, "answered", ok)
 	}
 	if !ok {
-		n.book.Unanswered(askedAt, instance)
-		return n.take()
+		n.residencyTracker.RecordUnanswered(askedAt, instance)
+		return n.takeActions()
 	}
 	if report.Busy || len(report.Coming) > 0 {
-		state.next = now.Add(2 * n.settings.ReportSoon)
+		state.nextPollAt = now.Add(2 * n.settings.ReportDelay)
 	}
-	n.book.Report(askedAt, now, instance, report)
-	n.tellFact(now, askedAt, instance, report.Sequence)
-	n.planSoon(now)
-	return n.take()
+	n.residencyTracker.Report(askedAt, now, instance, report)
+	n.publishResidencyReport(now, askedAt, instance, report.Sequence)
+	n.requestPlan(now)
+	return n.takeActions()
 }
