--- a/coordination/residency_reports.go
+++ b/coordination/residencyreports.go
@@ -11,9 +11,9 @@
 	"github.com/wheatweir/wheatweir/fleet"
 )
 
-// fact is the newest residency report of an instance that is known here, with the time of the report.
-type fact struct {
-	Fact
+// timedReport is the newest residency report of an instance that is known here, with the time of the report.
+type timedReport struct {
+	ResidencyReport
 	at time.Time
 }
 
@@ -21,9 +21,9 @@
 // server that can't reach the store for a while is removed from the list.
 const goneTTL = time.Minute
 
-// factBook is a cache of the newest residency report of each instance.
-type factBook struct {
-	byInstance map[string]fact
+// reportTracker is a cache of the newest residency report of each instance.
+type reportTracker struct {
+	byInstance map[string]timedReport
 	// gone holds the time at which instances were removed. Reports of other daemons on these instances
 	// are outdated and ignored.
 	gone map[string]time.Time
@@ -31,42 +31,42 @@
 	digest uint64
 }
 
-func newFactBook() factBook {
-	return factBook{byInstance: map[string]fact{}, gone: map[string]time.Time{}}
+func newReportTracker() reportTracker {
+	return reportTracker{byInstance: map[string]timedReport{}, gone: map[string]time.Time{}}
 }
 
-func (b *factBook) put(report fact) {
+func (b *reportTracker) put(report timedReport) {
 	b.drop(report.Instance)
 	b.byInstance[report.Instance] = report
 	b.digest ^= report.hash()
 }
 
-func (b *factBook) drop(instance string) {
+func (b *reportTracker) drop(instance string) {
 	if known, found := b.byInstance[instance]; found {
 		b.digest ^= known.hash()
 		delete(b.byInstance, instance)
 	}
 }
 
-// lose records that an instance is gone.
-func (b *factBook) lose(now time.Time, instance string) {
+// markGone records that an instance is gone.
+func (b *reportTracker) markGone(now time.Time, instance string) {
 	b.drop(instance)
 	maps.DeleteFunc(b.gone, func(_ string, since time.Time) bool { return now.Sub(since) > goneTTL })
 	b.gone[instance] = now
 }
 
-func (f *fact) hash() uint64 { return xxhash.Sum64String(f.Instance) * (2*f.Sequence + 1) }
+func (f *timedReport) hash() uint64 { return xxhash.Sum64String(f.Instance) * (2*f.Sequence + 1) }
 
-// learn merges a residency report of an instance.
-func (n *Node) learn(report Fact, at time.Time) {
-	if _, gone := n.facts.gone[report.Instance]; gone {
+// mergeResidencyReport merges a residency report of an instance.
+func (n *Node) mergeResidencyReport(report ResidencyReport, at time.Time) {
+	if _, gone := n.residencyReports.gone[report.Instance]; gone {
 		return
 	}
-	known, found := n.facts.byInstance[report.Instance]
+	known, found := n.residencyReports.byInstance[report.Instance]
 	if found && (report.Sequence < known.Sequence || report.Sequence == known.Sequence && at.Before(known.at)) {
 		return
 	}
-	n.facts.put(fact{Fact: report, at: at})
+	n.residencyReports.put(timedReport{ResidencyReport: report, at: at})
 	if !found || !sameResidents(known.Residents, report.Residents) {
 		n.changed[report.Instance] = true
 	}
@@ -89,22 +89,22 @@
 	return true
 }
 
-// FactOf returns the newest residency report of an instance, if one is known here.
-func (n *Node) FactOf(instance string) (Fact, bool) {
-	known, found := n.facts.byInstance[instance]
-	return known.Fact, found
+// ResidencyReportOf returns the newest residency report of an instance, if one is known here.
+func (n *Node) ResidencyReportOf(instance string) (ResidencyReport, bool) {
+	known, found := n.residencyReports.byInstance[instance]
+	return known.ResidencyReport, found
 }
 
-// KnowsReport reports whether a residency report of an instance is known here.
-func (n *Node) KnowsReport(instance string) bool {
-	_, found := n.facts.byInstance[instance]
+// HasResidencyReport reports whether a residency report of an instance is known here.
+func (n *Node) HasResidencyReport(instance string) bool {
+	_, found := n.residencyReports.byInstance[instance]
 	return found
 }
 
 // TakeView returns the current snapshot, and whether it differs from the last one.
 func (n *Node) TakeView() (*fleet.View, bool) {
 	before := n.view
-	if n.instances.Known() && n.evacuationsKnown() {
+	if n.instances.Synced() && n.evacuationsSynced() {
 		n.view = n.view.WithConfiguration(n.configuration)
 	}
 	if len(n.changed) > 0 {
@@ -134,7 +134,7 @@
 // precedence over the list, unless the list brought a change well after the report.
 func (n *Node) withReportedResidents(listed *fleet.Instance) *fleet.Instance {
 	listed = n.inUse(listed)
-	known, found := n.facts.byInstance[listed.ID]
+	known, found := n.residencyReports.byInstance[listed.ID]
 	if !found || known.at.Add(maxListLag).Before(n.listedAt[listed.ID]) {
 		return listed
 	}
@@ -143,35 +143,35 @@
 	return &copied
 }
 
-// tellFact broadcasts the residents of an instance to the other daemons, if they have changed.
-func (n *Node) tellFact(now, at time.Time, instance string, sequence uint64) {
+// publishResidencyReport broadcasts the residents of an instance to the other daemons, if they have changed.
+func (n *Node) publishResidencyReport(now, at time.Time, instance string, sequence uint64) {
 	state := n.reports[instance]
-	report := Fact{Instance: instance, Sequence: sequence, Residents: n.book.Residents(instance)}
-	n.learn(report, at)
+	report := ResidencyReport{Instance: instance, Sequence: sequence, Residents: n.residencyTracker.Residents(instance)}
+	n.mergeResidencyReport(report, at)
 	if state == nil || report.Sequence == state.sent.Sequence && sameResidents(report.Residents, state.sent.Residents) {
 		return
 	}
 	state.sent = report
-	n.spreading.due[instance] = true
-	if now.Sub(n.spreading.sentAt) >= n.settings.SpreadSoon {
-		n.spread(now)
+	n.holderUpdates.due[instance] = true
+	if now.Sub(n.holderUpdates.sentAt) >= n.settings.MinHolderUpdateInterval {
+		n.sendHolderUpdate(now)
 	}
 }
 
-// allFacts returns the residency reports of all instances.
-func (n *Node) allFacts(now time.Time) []Fact {
-	facts := make([]Fact, 0, len(n.facts.byInstance))
-	for instance := range n.facts.byInstance {
-		facts = append(facts, n.agedFact(now, instance))
+// allResidencyReports returns the residency reports of all instances.
+func (n *Node) allResidencyReports(now time.Time) []ResidencyReport {
+	residencyReports := make([]ResidencyReport, 0, len(n.residencyReports.byInstance))
+	for instance := range n.residencyReports.byInstance {
+		residencyReports = append(residencyReports, n.residencyReportWithAge(now, instance))
 	}
-	slices.SortFunc(facts, func(a, b Fact) int { return cmp.Compare(a.Instance, b.Instance) })
-	return facts
+	slices.SortFunc(residencyReports, func(a, b ResidencyReport) int { return cmp.Compare(a.Instance, b.Instance) })
+	return residencyReports
 }
 
-// agedFact returns a residency report with its present age.
-func (n *Node) agedFact(now time.Time, instance string) Fact {
-	known := n.facts.byInstance[instance]
-	report := known.Fact
+// residencyReportWithAge returns a residency report with its present age.
+func (n *Node) residencyReportWithAge(now time.Time, instance string) ResidencyReport {
+	known := n.residencyReports.byInstance[instance]
+	report := known.ResidencyReport
 	report.Age = now.Sub(known.at)
 	return report
 }
--- a/coordination/residency_reports_test.go
+++ b/coordination/residencyreports_test.go
@@ -12,14 +12,14 @@
 // other reports before them.
 func TestDigestDependsOnTheFactsAlone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		incremental, fresh := newFactBook(), newFactBook()
+		incremental, fresh := newReportTracker(), newReportTracker()
 		for range rapid.IntRange(0, 20).Draw(t, "steps") {
 			instance := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "instance")
 			if rapid.Bool().Draw(t, "drop") {
 				incremental.drop(instance)
 				continue
 			}
-			incremental.put(fact{Fact: Fact{Instance: instance, Sequence: rapid.Uint64Range(0, 5).Draw(t, "sequence")}})
+			incremental.put(timedReport{ResidencyReport: ResidencyReport{Instance: instance, Sequence: rapid.Uint64Range(0, 5).Draw(t, "sequence")}})
 		}
 		for _, known := range incremental.byInstance {
 			fresh.put(known)
--- a/coordination/revision.go
+++ b/coordination/revision.go
@@ -16,7 +16,7 @@
 // MembersRevision returns a number that changes whenever the known state of the daemons changes. In
 // a large fleet it changes with a delay.
 func (n *Node) MembersRevision() uint64 {
-	if n.revisionInterval() <= TickEvery {
+	if n.revisionInterval() <= TickInterval {
 		return n.detector.Revision()
 	}
 	return n.applied.revision
--- a/coordination/revision_bench_test.go
+++ b/coordination/revision_bench_test.go
@@ -22,13 +22,13 @@
 			for number := range members {
 				receiveRumor(number, 1)
 			}
-			w.learnServers(20)
+			w.listInstances(20)
 			incarnation := uint64(1)
 			for b.Loop() {
 				incarnation++
-				w.now = w.now.Add(coordination.TickEvery)
+				w.now = w.now.Add(coordination.TickInterval)
 				receiveRumor(int(incarnation)%members, incarnation)
-				node.ObserveOwn(w.now, nil, nil, coordination.UrgencyNone)
+				node.UpdateOwnLoad(w.now, nil, nil, coordination.UrgencyNone)
 				node.Tick(w.now)
 				node.Group()
 				node.Rank()
--- a/coordination/revision_test.go
+++ b/coordination/revision_test.go
@@ -26,8 +26,8 @@
 		}
 		node.Tick(w.now)
 		changes, before := 0, node.MembersRevision()
-		for tick := range int(time.Second / coordination.TickEvery) {
-			w.now = w.now.Add(coordination.TickEvery)
+		for tick := range int(time.Second / coordination.TickInterval) {
+			w.now = w.now.Add(coordination.TickInterval)
 			receiveRumor(tick, 2)
 			node.Tick(w.now)
 			if revision := node.MembersRevision(); revision != before {
--- a/coordination/scale_bench_test.go
+++ b/coordination/scale_bench_test.go
@@ -46,11 +46,11 @@
 // newControlWorld returns a world at the beginning of a phase, with counters that start there.
 func newControlWorld(daemons, servers int, phase controlPhase) *world {
 	w := newWorld(daemons)
-	w.rebuild(func(i int, self *member.Member, settings *coordination.Settings) {
-		self.Zone, settings.Lease.OrderPause = zoneOfNode(i), 0
+	w.recreateAll(func(i int, self *member.Member, settings *coordination.Settings) {
+		self.Zone, settings.Lease.TakeoverOrderDelay = zoneOfNode(i), 0
 		settings.RevokeWithin = revokeWithin
 	})
-	w.learnServers(servers)
+	w.listInstances(servers)
 	if phase != phaseStart {
 		w.run(25 * time.Second)
 	}
@@ -90,14 +90,14 @@
 	}
 }
 
-// learnServers gives all nodes a configuration and a list of count instances.
-func (w *world) learnServers(count int) {
+// listInstances gives all nodes a configuration and a list of count instances.
+func (w *world) listInstances(count int) {
 	var ids []string
 	for i := range count {
 		ids = append(ids, fmt.Sprintf("i-%08x", i))
 	}
 	for _, name := range w.names() {
-		w.perform(name, w.nodes[name].ConfigurationLearned(engineConfiguration(1)))
+		w.perform(name, w.nodes[name].ConfigurationReceived(engineConfiguration(1)))
 		w.perform(name, w.nodes[name].InstancesListed(w.now, listing(5, ids...)))
 	}
 }
@@ -128,7 +128,7 @@
 		}
 		for _, name := range w.names() {
 			w.timed(name, func() []coordination.Action {
-				return w.nodes[name].ObserveOwn(w.now, load, models, coordination.UrgencyLoad)
+				return w.nodes[name].UpdateOwnLoad(w.now, load, models, coordination.UrgencyLoad)
 			})
 		}
 		w.run(100 * time.Millisecond)
@@ -166,7 +166,7 @@
 		return "probe"
 	case message.Load != nil:
 		return "load"
-	case message.Spread != nil:
+	case message.HolderUpdate != nil:
 		return "spread"
 	default:
 		return "other"
--- a/coordination/store_checks.go
+++ b/coordination/storechecks.go
@@ -15,8 +15,8 @@
 // maxPendingQueries bounds the requests that are kept.
 const maxPendingQueries = 32
 
-// question is a request of another daemon that had versions as new as those of this one.
-type question struct {
+// pendingQuery is a request of another daemon that had versions as new as those of this one.
+type pendingQuery struct {
 	from    string
 	request Versions
 	until   time.Time
@@ -28,9 +28,9 @@
 func (n *Node) SourceOverdue(source Source) []Action {
 	request := n.versionsQuery(source)
 	storeCheckPeers := n.storeCheckPeers()
-	n.decide(string(source), "Store response overdue; querying other daemons.", "own", n.ownVersion(source), "daemons", len(storeCheckPeers))
-	n.sendAll(storeCheckPeers, Message{From: n.self, Ask: &request})
-	return n.take()
+	n.logEntry(string(source), "Store response overdue; querying other daemons.", "own", n.ownVersion(source), "daemons", len(storeCheckPeers))
+	n.sendAll(storeCheckPeers, Message{From: n.self, Request: &request})
+	return n.takeActions()
 }
 
 // storeCheckPeers returns the daemons to query about the store: the other watchers, and some other
@@ -40,23 +40,23 @@
 	watching := min(len(others), n.settings.Watchers)
 	rest := others[watching:]
 	n.random.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
-	return others[:min(len(others), watching+n.settings.Witnesses)]
+	return others[:min(len(others), watching+n.settings.StoreCheckPeers)]
 }
 
-// lookFor refreshes from the store on behalf of another daemon that has versions as new as those of
+// refreshForPeer refreshes from the store on behalf of another daemon that has versions as new as those of
 // this one.
-func (n *Node) lookFor(now time.Time, from string, request Versions) {
+func (n *Node) refreshForPeer(now time.Time, from string, request Versions) {
 	for _, source := range sourcesInOrder {
 		state := n.sources[source]
 		if !request.concerns(source) || n.ownVersion(source).After(request.placeOf(source)) {
 			continue
 		}
-		if len(n.questions) < maxPendingQueries {
-			n.questions = append(n.questions, question{from: from, request: request.restrictedTo(source), until: now.Add(pendingQueryTTL)})
+		if len(n.pendingQueries) < maxPendingQueries {
+			n.pendingQueries = append(n.pendingQueries, pendingQuery{from: from, request: request.restrictedTo(source), until: now.Add(pendingQueryTTL)})
 		}
 		if now.Sub(state.refreshedForPeerAt) >= minRefreshInterval {
 			state.refreshedForPeerAt = now
-			n.do(Refresh{Source: source})
+			n.enqueue(Refresh{Source: source})
 		}
 	}
 }
@@ -85,14 +85,14 @@
 	}
 }
 
-// tickQuestions answers the pending requests that can be answered now.
-func (n *Node) tickQuestions(now time.Time) {
-	n.questions = slices.DeleteFunc(n.questions, func(pending question) bool {
+// tickPendingQueries answers the pending requests that can be answered now.
+func (n *Node) tickPendingQueries(now time.Time) {
+	n.pendingQueries = slices.DeleteFunc(n.pendingQueries, func(pending pendingQuery) bool {
 		known := n.configurationVersion() > pending.request.Configuration ||
 			n.ownVersion(SourceInstances).After(pending.request.Instances) ||
 			n.ownVersion(SourceEvacuations).After(pending.request.Evacuations)
 		if known {
-			n.answerAsk(pending.from, pending.request)
+			n.answerRequest(pending.from, pending.request)
 		}
 		return known || now.After(pending.until)
 	})
--- a/coordination/store_checks_test.go
+++ b/coordination/storechecks_test.go
@@ -11,7 +11,7 @@
 func settledWorld(t *testing.T, count int) *world {
 	t.Helper()
 	w := newWorld(count)
-	w.learn()
+	w.listAll()
 	w.run(4 * time.Second)
 	clear(w.refresh)
 	return w
@@ -27,7 +27,7 @@
 	settings := coordination.DefaultSettings(term)
 	for _, count := range []int{1, 3, 8, 40} {
 		w := settledWorld(t, count)
-		requester := w.pickByWatch(true)
+		requester := w.nodeByWatching(true)
 		w.reportOverdue(requester)
 		w.reportOverdue(requester)
 		refreshed := 0
@@ -37,10 +37,10 @@
 				t.Errorf("%d nodes: %s refreshed %d times", count, name, times)
 			}
 		}
-		minRefreshed, maxRefreshed := min(count-1, settings.Watchers-1+settings.Witnesses), min(count-1, settings.Watchers+settings.Witnesses)
+		minRefreshed, maxRefreshed := min(count-1, settings.Watchers-1+settings.StoreCheckPeers), min(count-1, settings.Watchers+settings.StoreCheckPeers)
 		if count == 40 {
 			// A node that both requests picked at random refreshed once, like the others.
-			maxRefreshed += settings.Witnesses
+			maxRefreshed += settings.StoreCheckPeers
 		}
 		if refreshed < minRefreshed || refreshed > maxRefreshed {
 			t.Errorf("%d nodes: %d refreshed, want %d to %d", count, refreshed, minRefreshed, maxRefreshed)
@@ -58,7 +58,7 @@
 func TestNodeIsToldWhatOthersFoundAtTheStore(t *testing.T) {
 	w := settledWorld(t, 3)
 	w.reportOverdue("n0")
-	w.perform("n1", w.nodes["n1"].ConfigurationLearned(engineConfiguration(2)))
+	w.perform("n1", w.nodes["n1"].ConfigurationReceived(engineConfiguration(2)))
 	w.perform("n1", w.nodes["n1"].Tick(w.now))
 	if view, _ := w.nodes["n0"].TakeView(); view.Configuration().Version != 2 {
 		t.Errorf("version %d after another node has refreshed, want 2", view.Configuration().Version)
--- a/coordination/store_era.go
+++ b/coordination/storeera.go
@@ -31,16 +31,16 @@
 
 // EraLearned records the era that a response of the store names.
 func (n *Node) EraLearned(now time.Time, era uint64) []Action {
-	n.learnEra(now, originStore, era)
-	return n.take()
+	n.recordEra(now, originStore, era)
+	return n.takeActions()
 }
 
 // StoreEra returns the newest known era of the store.
 func (n *Node) StoreEra() uint64 { return n.eras.era }
 
-// learnEra records an era. An era newer than the known one means that the store has lost its latest
+// recordEra records an era. An era newer than the known one means that the store has lost its latest
 // writes. The daemons that watch it list again at once, and update the others.
-func (n *Node) learnEra(now time.Time, from origin, era uint64) {
+func (n *Node) recordEra(now time.Time, from origin, era uint64) {
 	state := &n.eras
 	if state.known && era <= state.era {
 		return
@@ -52,12 +52,12 @@
 		return
 	}
 	state.advanced++
-	n.decide("store", "Store restored from an earlier copy.", "era", era, "from", string(from), "instances_at", n.instances.At())
+	n.logEntry("store", "Store restored from an earlier copy.", "era", era, "from", string(from), "instances_at", n.instances.At())
 	if n.Watching(now) {
-		n.do(Refresh{Source: SourceConfiguration})
-		n.do(Refresh{Source: SourceInstances})
+		n.enqueue(Refresh{Source: SourceConfiguration})
+		n.enqueue(Refresh{Source: SourceInstances})
 		if n.settings.FollowsEvacuations {
-			n.do(Refresh{Source: SourceEvacuations})
+			n.enqueue(Refresh{Source: SourceEvacuations})
 		}
 	}
 }
@@ -72,28 +72,28 @@
 // replaceInstances processes a full list of instances. The first list of an era shows instances as the
 // copy has them. For known instances that is no new information.
 func (n *Node) replaceInstances(now time.Time, from origin, batch feed.Batch[*fleet.Instance]) {
-	n.learnEra(now, from, batch.At.Era)
-	known, before := n.instances.Known(), n.instances.At()
+	n.recordEra(now, from, batch.At.Era)
+	known, before := n.instances.Synced(), n.instances.At()
 	if known && batch.At.Before(before) {
-		n.decide("instances", "Instance list rejected; older than the known revision.", "from", string(from), "listed", batch.At, "known", before)
+		n.logEntry("instances", "Instance list rejected; older than the known revision.", "from", string(from), "listed", batch.At, "known", before)
 		return
 	}
 	n.recordFirstList(SourceInstances, batch.At)
 	restored := known && batch.At.Era > before.Era
 	changed := n.instances.Replace(batch)
-	if restored && n.instances.HasEarlier() {
+	if restored && n.instances.HasEarlierEra() {
 		n.eras.earlierUntil = now.Add(rewriteWindow)
 	}
 	n.instancesChanged(now, from, changed, restored)
 }
 
-// tickEarlier drops the instances and evacuations that only an earlier era reported, once the time to
+// dropEarlierEras drops the instances and evacuations that only an earlier era reported, once the time to
 // write them again is over.
-func (n *Node) tickEarlier(now time.Time) {
+func (n *Node) dropEarlierEras(now time.Time) {
 	if n.eras.earlierUntil.IsZero() || now.Before(n.eras.earlierUntil) {
 		return
 	}
 	n.eras.earlierUntil = time.Time{}
-	n.instancesChanged(now, originRestore, n.instances.DropEarlier(), false)
-	n.evacuationsChanged(now, originRestore, n.evacuations.DropEarlier())
+	n.instancesChanged(now, originRestore, n.instances.RemoveEarlierEra(), false)
+	n.evacuationsChanged(now, originRestore, n.evacuations.RemoveEarlierEra())
 }
--- a/coordination/store_era_test.go
+++ b/coordination/storeera_test.go
@@ -42,7 +42,7 @@
 	w := newWorld(count)
 	w.restore(1)
 	for _, name := range w.names() {
-		w.perform(name, w.nodes[name].ConfigurationLearned(engineConfiguration(1)))
+		w.perform(name, w.nodes[name].ConfigurationReceived(engineConfiguration(1)))
 		w.perform(name, w.nodes[name].InstancesListed(w.now, listed(1, 95, entries...)))
 	}
 	w.run(2 * time.Second)
@@ -105,7 +105,7 @@
 // about it.
 func TestEraIsToldOnce(t *testing.T) {
 	w := eraWorld(9, "i1")
-	watcher := w.pickByWatch(true)
+	watcher := w.nodeByWatching(true)
 	w.restore(2)
 	w.perform(watcher, w.nodes[watcher].EraLearned(w.now, 2))
 	w.perform(watcher, w.nodes[watcher].InstancesListed(w.now, listed(2, 80, "i1")))
--- a/coordination/store_outage.go
+++ b/coordination/storeoutage.go
@@ -17,8 +17,8 @@
 	if fence, ok := n.lease.MayOrder(now); ok {
 		return fence, n.lease.ValidUntil(), true
 	}
-	fence, retained := n.lease.Retained()
-	if !retained || n.lease.Held(now) || !n.settings.ChecksFence || !n.storeAwayForAll(now) {
+	fence, retained := n.lease.LastFence()
+	if !retained || n.lease.Held(now) || !n.settings.ChecksFence || !n.storeUnavailableForAll(now) {
 		return 0, time.Time{}, false
 	}
 	return fence, now.Add(outageOrderTTL), true
@@ -27,23 +27,23 @@
 // watcherReportTTL is how long an update from a daemon that watches the store counts.
 const watcherReportTTL = 1500 * time.Millisecond
 
-// HearsOfInstances reports whether this daemon receives new instances soon after others do. That holds
+// ReceivesInstanceChanges reports whether this daemon receives new instances soon after others do. That holds
 // if it watches the store, if it receives updates from a daemon that does, or if the store answers
 // nobody.
-func (n *Node) HearsOfInstances(now time.Time) bool {
+func (n *Node) ReceivesInstanceChanges(now time.Time) bool {
 	watches := n.Watching(now) && !n.sources[SourceInstances].unavailable
-	return watches || now.Sub(n.watcherAt) <= watcherReportTTL || n.storeAwayForAll(now)
+	return watches || now.Sub(n.watcherSeenAt) <= watcherReportTTL || n.storeUnavailableForAll(now)
 }
 
-// storeAway reports whether the store answers none of this daemon's reads.
-func (n *Node) storeAway() bool {
+// storeUnavailable reports whether the store answers none of this daemon's reads.
+func (n *Node) storeUnavailable() bool {
 	return n.sources[SourceConfiguration].unavailable && n.sources[SourceInstances].unavailable
 }
 
-// storeAwayForAll reports whether the store answers neither this daemon nor, by their reports, any
+// storeUnavailableForAll reports whether the store answers neither this daemon nor, by their reports, any
 // other live daemon.
-func (n *Node) storeAwayForAll(now time.Time) bool {
-	if !n.storeAway() {
+func (n *Node) storeUnavailableForAll(now time.Time) bool {
+	if !n.storeUnavailable() {
 		return false
 	}
 	for _, name := range n.detector.Live() {
@@ -51,7 +51,7 @@
 			continue
 		}
 		peer, found := n.peers[name]
-		if !found || now.Sub(peer.at) > storeAwayReportTTL || !peer.load.StoreAway {
+		if !found || now.Sub(peer.at) > storeAwayReportTTL || !peer.load.StoreUnavailable {
 			return false
 		}
 	}
--- a/coordination/world_test.go
+++ b/coordination/world_test.go
@@ -47,18 +47,18 @@
 	spent  map[string]time.Duration
 	// decisions holds the log entries, each with the node's name in front.
 	decisions []string
-	// heardLoad counts the load updates by sender and receiver.
-	heardLoad map[[2]string]int
+	// loadUpdates counts the load updates by sender and receiver.
+	loadUpdates map[[2]string]int
 	// assured is the configuration in the store, for nodes that keep verifying theirs.
 	assured *assuredStore
-	// reportsAsked counts the report requests to each instance.
-	reportsAsked map[string]int
+	// reportRequests counts the report requests to each instance.
+	reportRequests map[string]int
 	// reports are the reports of instances; instances that are not listed hold one model.
 	reports map[string]fleet.Report
-	// questions counts the assurance requests to each node.
-	questions map[string]int
-	// learnCrashes is called with each update on crashes that a node receives; it may be nil.
-	learnCrashes func(node string, update quarantine.Update)
+	// freshnessRequests counts the assurance requests to each node.
+	freshnessRequests map[string]int
+	// onCrashes is called with each update on crashes that a node receives; it may be nil.
+	onCrashes func(node string, update quarantine.Update)
 	// crashMessages counts the messages with updates on crashes by sender.
 	crashMessages map[string]int
 	// onOrder is called with each order as it is sent; it may be nil.
@@ -86,16 +86,16 @@
 }
 
 func newWorld(count int) *world {
-	w := &world{now: time.Unix(1000, 0), nodes: map[string]*coordination.Node{}, zones: map[string]string{}, storeCut: map[string]bool{}, dead: map[string]bool{}, refresh: map[string]int{}, messages: map[string]int{}, bytes: map[string]int{}, byKind: map[string]int{}, spent: map[string]time.Duration{}, heardLoad: map[[2]string]int{}, questions: map[string]int{}, reportsAsked: map[string]int{}, crashMessages: map[string]int{}}
+	w := &world{now: time.Unix(1000, 0), nodes: map[string]*coordination.Node{}, zones: map[string]string{}, storeCut: map[string]bool{}, dead: map[string]bool{}, refresh: map[string]int{}, messages: map[string]int{}, bytes: map[string]int{}, byKind: map[string]int{}, spent: map[string]time.Duration{}, loadUpdates: map[[2]string]int{}, freshnessRequests: map[string]int{}, reportRequests: map[string]int{}, crashMessages: map[string]int{}}
 	for i := range count {
 		w.nodes[fmt.Sprint("n", i)] = nil
 	}
-	w.rebuild(func(_ int, _ *member.Member, settings *coordination.Settings) { settings.Lease.OrderPause = 0 })
+	w.recreateAll(func(_ int, _ *member.Member, settings *coordination.Settings) { settings.Lease.TakeoverOrderDelay = 0 })
 	return w
 }
 
-// rebuild recreates all nodes, with adjust applied to the settings of each.
-func (w *world) rebuild(adjust func(i int, self *member.Member, settings *coordination.Settings)) {
+// recreateAll recreates all nodes, with adjust applied to the settings of each.
+func (w *world) recreateAll(adjust func(i int, self *member.Member, settings *coordination.Settings)) {
 	for i, name := range w.names() {
 		self := member.Member{Name: name, Zone: fmt.Sprint("z", i%4), PeerAddress: name, CallerAddress: name, Incarnation: 1}
 		settings := coordination.DefaultSettings(term)
@@ -105,12 +105,12 @@
 	}
 }
 
-// rebuildOne recreates one node with another incarnation, with the settings of worlds whose
+// recreateOne recreates one node with another incarnation, with the settings of worlds whose
 // nodes verify their configuration.
-func (w *world) rebuildOne(name string, incarnation uint64, random *rand.Rand) {
+func (w *world) recreateOne(name string, incarnation uint64, random *rand.Rand) {
 	self := member.Member{Name: name, Zone: w.zones[name], PeerAddress: name, CallerAddress: name, Incarnation: incarnation}
 	settings := coordination.DefaultSettings(term)
-	settings.Lease.OrderPause, settings.RevokeWithin = 0, revokeWithin
+	settings.Lease.TakeoverOrderDelay, settings.RevokeWithin = 0, revokeWithin
 	w.nodes[name] = coordination.New(w.now, self, settings, []string{"n0"}, rand.New(rand.NewPCG(random.Uint64(), 7)))
 }
 
@@ -141,7 +141,7 @@
 		for _, name := range w.names() {
 			if !w.dead[name] {
 				node := w.nodes[name]
-				w.perform(name, node.ObserveOwn(w.now, map[string]balance.Load{}, nil, coordination.UrgencyNone))
+				w.perform(name, node.UpdateOwnLoad(w.now, map[string]balance.Load{}, nil, coordination.UrgencyNone))
 				w.timed(name, func() []coordination.Action { return node.Tick(w.now) })
 			}
 		}
@@ -158,19 +158,19 @@
 				continue
 			}
 			if action.Message.Load != nil {
-				w.heardLoad[[2]string{name, action.Address}]++
+				w.loadUpdates[[2]string{name, action.Address}]++
 			}
-			if action.Message.Bulletin != nil {
+			if action.Message.ObservationUpdate != nil {
 				w.crashMessages[name]++
 			}
 			if action.Message.Configuration != nil {
 				w.configurations++
 			}
-			if len(action.Message.Facts) > 0 {
+			if len(action.Message.ResidencyReports) > 0 {
 				w.factMessages++
 			}
-			if action.Message.AskAssurance != nil {
-				w.questions[action.Address]++
+			if action.Message.FreshnessRequest != nil {
+				w.freshnessRequests[action.Address]++
 			}
 			if w.latency != nil {
 				w.inFlight = append(w.inFlight, message{action.Address, w.now.Add(w.latency()), action.Message})
@@ -187,8 +187,8 @@
 		case coordination.CallLease:
 			outcome, stored := w.callLease(name, action.Call)
 			w.perform(name, node.LeaseAnswered(w.now, outcome, stored))
-		case coordination.AskReport:
-			w.reportsAsked[action.Instance]++
+		case coordination.RequestReport:
+			w.reportRequests[action.Instance]++
 			report, found := w.reports[action.Instance]
 			if !found {
 				report = fleet.Report{Residents: []fleet.Resident{{Model: "m"}}, Sequence: 4}
@@ -199,21 +199,21 @@
 			if w.onOrder != nil {
 				w.onOrder(action.Order)
 			}
-			w.perform(name, node.OrderAnswered(w.now, action.Order, residency.AnswerTaken))
+			w.perform(name, node.OrderAnswered(w.now, action.Order, residency.AnswerAccepted))
 		case coordination.Refresh:
 			w.refresh[name]++
 			if w.assured != nil && action.Source == coordination.SourceConfiguration && !w.storeCut[name] {
-				w.perform(name, node.ConfigurationLearned(engineConfiguration(w.assured.show(w.now))))
+				w.perform(name, node.ConfigurationReceived(engineConfiguration(w.assured.show(w.now))))
 			}
 		case coordination.ReadConfiguration:
 			if w.assured != nil {
 				w.readConfiguration(name)
 			}
-		case coordination.LearnCrashes:
-			if w.learnCrashes != nil {
-				w.learnCrashes(name, action.Update)
+		case coordination.CrashesReceived:
+			if w.onCrashes != nil {
+				w.onCrashes(name, action.Update)
 			}
-		case coordination.Decision:
+		case coordination.LogEntry:
 			w.decisions = append(w.decisions, name+" "+action.Part+" "+fmt.Sprintln(action.Fields...))
 		}
 	}
@@ -248,9 +248,9 @@
 	return batch
 }
 
-func (w *world) learn() {
+func (w *world) listAll() {
 	for _, name := range w.names() {
-		w.perform(name, w.nodes[name].ConfigurationLearned(engineConfiguration(1)))
+		w.perform(name, w.nodes[name].ConfigurationReceived(engineConfiguration(1)))
 		w.perform(name, w.nodes[name].InstancesListed(w.now, listing(5, "i1", "i2")))
 	}
 }
@@ -258,7 +258,7 @@
 func (w *world) holders() []string {
 	var holders []string
 	for _, name := range w.names() {
-		if !w.dead[name] && w.nodes[name].Holds(w.now) {
+		if !w.dead[name] && w.nodes[name].HoldsLease(w.now) {
 			holders = append(holders, name)
 		}
 	}
@@ -267,10 +267,10 @@
 
 // setWatchers recreates the nodes with the given number of nodes that watch the store.
 func (w *world) setWatchers(count int) {
-	w.rebuild(func(_ int, _ *member.Member, settings *coordination.Settings) { settings.Watchers = count })
+	w.recreateAll(func(_ int, _ *member.Member, settings *coordination.Settings) { settings.Watchers = count })
 }
 
-func (w *world) pickByWatch(watching bool) string {
+func (w *world) nodeByWatching(watching bool) string {
 	for _, name := range w.names() {
 		if w.nodes[name].Watching(w.now) == watching {
 			return name
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -61,7 +61,7 @@
 		case happened := <-d.events.Items():
 			d.perform(happened(d.node, time.Now()))
 		case model := <-d.interests.Items():
-			d.node.Interested(time.Now(), model)
+			d.node.RequestReceived(time.Now(), model)
 		}
 		now := time.Now()
 		if d.node.Revision() != revision && now.Sub(published) >= tableInterval {
@@ -122,23 +122,23 @@
 		case control.Decision:
 			d.logDecision(action)
 		case control.FetchChanges:
-			if !d.calls.watches.Offer(action) {
+			if !d.calls.watches.TryPut(action) {
 				d.perform(d.node.ChangesAnswered(time.Now(), control.ChangesAnswer{Err: control.CallNotDone}))
 			}
 		case control.Write:
-			if !d.calls.platform.Offer(action) {
+			if !d.calls.platform.TryPut(action) {
 				d.perform(d.node.WriteAnswered(time.Now(), control.WriteAnswer{Key: action.Object.Key, Err: control.CallNotDone}))
 			}
 		case control.Read:
-			if !d.calls.platform.Offer(action) {
+			if !d.calls.platform.TryPut(action) {
 				d.perform(d.node.ReadAnswered(time.Now(), control.ReadAnswer{Key: action.Key, Err: control.CallNotDone}))
 			}
 		case control.Poll:
-			if !d.calls.polls.Offer(action) {
+			if !d.calls.polls.TryPut(action) {
 				d.perform(d.node.PollAnswered(time.Now(), control.PollAnswer{BackEnd: action.BackEnd, Err: control.CallNotDone}))
 			}
 		case control.SendOrder:
-			d.calls.orders.Offer(action)
+			d.calls.orders.TryPut(action)
 		}
 	}
 }
@@ -149,7 +149,7 @@
 		d.limiter.Receive(message.Sender, message.Limit)
 		return
 	}
-	d.events.Offer(func(node *control.Node, now time.Time) []control.Action {
+	d.events.TryPut(func(node *control.Node, now time.Time) []control.Action {
 		return node.Receive(now, message)
 	})
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -145,7 +145,7 @@
 	if err != nil {
 		return ErrStart.Wrap(err)
 	}
-	d.transport.OnSilent(func(address string, waiting time.Duration) {
+	d.transport.OnUnacknowledged(func(address string, waiting time.Duration) {
 		d.logger.Info("Gave a silent connection up.", "part", "peer", "address", address, "unacknowledged", waiting)
 	})
 	d.server, err = caller.Listen(d.settings.Daemon.CallerAddress, d.settings.Daemon.Name, d.settings.Requests.MaxBodyBytes, d)
@@ -223,7 +223,7 @@
 
 // Learned implements operator.System.
 func (d *Daemon) Learned(object api.Object) {
-	d.events.Offer(func(node *control.Node, _ time.Time) []control.Action {
+	d.events.TryPut(func(node *control.Node, _ time.Time) []control.Action {
 		return node.Learned(object)
 	})
 }
--- a/daemon/model.go
+++ b/daemon/model.go
@@ -49,11 +49,11 @@
 	if call.Priority == caller.NoPriority {
 		call.Priority = model.Spec.Priority
 	}
-	d.interests.Offer(model.Spec.Name)
+	d.interests.TryPut(model.Spec.Name)
 	gate := d.gate(model)
 	ticket := &admit.Ticket{Priority: call.Priority, Deadline: d.deadline(call)}
 	waiting, release := caller.WhileItMayBegin(ctx)
-	refusal, admitted := gate.Enter(waiting, ticket)
+	refusal, admitted := gate.Acquire(waiting, ticket)
 	refusal = caller.Told(waiting, refusal)
 	release()
 	if !admitted {
@@ -62,7 +62,7 @@
 		return nil, refusal
 	}
 	entered := time.Now()
-	leave := func() { gate.Exit(time.Since(entered)) }
+	leave := func() { gate.Release(time.Since(entered)) }
 	answer, result := d.attemptModel(ctx, call, leave)
 	if answer == nil || answer.Stream == nil {
 		leave()
--- a/daemon/requests.go
+++ b/daemon/requests.go
@@ -120,7 +120,7 @@
 				step = machine.NoBackEnd(outcome.ReasonNoReplica, noReplicaRetry)
 				continue
 			}
-			backEnd.Load.NoteResult(time.Now(), result)
+			backEnd.Load.RecordResult(time.Now(), result)
 			result = caller.Told(ctx, result)
 			if answer == nil {
 				d.noteFailure(call, backEnd, request, result)
--- a/daemon/stop.go
+++ b/daemon/stop.go
@@ -55,7 +55,7 @@
 // daemon gave just before it learned of the stop may be kept for AddressKeep.
 func (d *Daemon) left(ctx context.Context) bool {
 	var knownFor time.Duration
-	d.ask(ctx, func(node *control.Node) { knownFor = node.LeaveKnownFor(time.Now()) })
+	d.ask(ctx, func(node *control.Node) { knownFor = node.LeaveAcknowledgedFor(time.Now()) })
 	return knownFor > d.settings.Requests.AddressKeep && d.server.QuietFor() > d.settings.Requests.AddressKeep
 }
 
--- a/daemon/tenants.go
+++ b/daemon/tenants.go
@@ -77,10 +77,10 @@
 // a refusal if the call may not be served. Giving back ends a call that did not run.
 func (d *Daemon) admitTenant(ctx context.Context, call *caller.Call) (giveBack func(), refusal outcome.Result, admitted bool) {
 	tenants := d.tenants.Load()
-	if !tenants.Any() {
+	if !tenants.HasTenants() {
 		return func() {}, outcome.Result{}, true
 	}
-	known := tenants.Of(call.TenantKey)
+	known := tenants.ByKey(call.TenantKey)
 	if known == nil {
 		return nil, outcome.Refuse(outcome.ReasonUnknownTenant, 0), false
 	}
@@ -109,8 +109,8 @@
 func (d *Daemon) returning(use limiter.Request) func() {
 	takenAt := time.Now()
 	return func() {
-		if time.Since(takenAt) < quota.AllowanceSpan {
-			d.limiter.Return(use)
+		if time.Since(takenAt) < quota.GrantTTL {
+			d.limiter.Refund(use)
 		}
 	}
 }
--- a/entry/aside.go
+++ b/entry/aside.go
@@ -35,7 +35,7 @@
 		p.asideAt = now
 	case now.Sub(p.asideAt) >= span:
 		p.aside, p.asideAt = wanted, now
-		p.daemon.perform(p.daemon.node.StandAside(now, wanted))
+		p.daemon.perform(p.daemon.node.Yield(now, wanted))
 	}
 }
 
--- a/entry/assurance.go
+++ b/entry/assurance.go
@@ -50,9 +50,9 @@
 		}
 		d.work.events.Put(d.ctx, func(node *coordination.Node, now time.Time) []coordination.Action {
 			if err != nil {
-				return node.ConfigurationNotRead()
+				return node.ConfigurationReadFailed()
 			}
-			return node.ConfigurationRead(now, coordination.Reading{
+			return node.ConfigurationRead(now, coordination.ConfigurationReadResult{
 				BegunAt: begunAt, Era: reading.Era, Version: reading.Version, Configuration: reading.Configuration,
 			})
 		})
--- a/entry/brittle.go
+++ b/entry/brittle.go
@@ -9,7 +9,7 @@
 )
 
 // hearBrittle takes in whether an answer says that the servers of its service are brittle.
-func (n *notices) hearBrittle(now time.Time, heard *fleet.Heard) {
+func (n *notices) hearBrittle(now time.Time, heard *fleet.ObservedNotice) {
 	said := heard.Notice.Brittle
 	if said.Unreadable || !said.Named && !n.anyBrittle.Load() {
 		return
@@ -19,40 +19,40 @@
 		return
 	}
 	n.mutex.Lock()
-	change := n.brittle.Hear(now, instance.Service, heard.SentAt, said.Named, said.Refusals)
-	n.anyBrittle.Store(n.brittle.Services() > 0)
+	change := n.brittle.Observe(now, instance.Service, heard.SentAt, said.Named, said.Refusals)
+	n.anyBrittle.Store(n.brittle.Count() > 0)
 	n.mutex.Unlock()
-	if change == brittle.Nothing {
+	if change == brittle.Unchanged {
 		return
 	}
-	word := brittle.Word{Service: instance.Service, Named: said.Named, Refusals: said.Refusals, Age: max(0, now.Sub(heard.SentAt))}
+	word := brittle.Entry{Service: instance.Service, Named: said.Named, Refusals: said.Refusals, Age: max(0, now.Sub(heard.SentAt))}
 	n.brittleChanged(now, change, word, "answer")
-	n.daemon.work.events.Offer(func(node *coordination.Node, _ time.Time) []coordination.Action {
-		return node.TellBrittle(brittle.Update{Words: []brittle.Word{word}})
+	n.daemon.work.events.TryPut(func(node *coordination.Node, _ time.Time) []coordination.Action {
+		return node.BroadcastBrittle(brittle.Update{Entries: []brittle.Entry{word}})
 	})
 }
 
 // learnBrittle takes in what other daemons were told: one that has sent a service nothing lately would not know.
 func (n *notices) learnBrittle(update brittle.Update) {
 	now := n.daemon.clock.Now()
-	for _, word := range update.Words {
+	for _, word := range update.Entries {
 		n.mutex.Lock()
-		change := n.brittle.Learn(now, word)
-		n.anyBrittle.Store(n.brittle.Services() > 0)
+		change := n.brittle.Merge(now, word)
+		n.anyBrittle.Store(n.brittle.Count() > 0)
 		n.mutex.Unlock()
-		if change != brittle.Nothing {
+		if change != brittle.Unchanged {
 			n.brittleChanged(now, change, word, "daemon")
 		}
 	}
 }
 
 // brittleChanged acts on what is new of a service, and logs it with where this daemon knows it from.
-func (n *notices) brittleChanged(now time.Time, change brittle.Change, word brittle.Word, from string) {
+func (n *notices) brittleChanged(now time.Time, change brittle.Change, word brittle.Entry, from string) {
 	n.slots.SubjectsChanged(now)
 	switch change {
-	case brittle.Begins:
+	case brittle.Started:
 		n.log("Brittle.", "service", word.Service, "from", from, "refusals_per_s", word.Refusals)
-	case brittle.Ends:
+	case brittle.Ended:
 		n.log("No longer brittle.", "service", word.Service, "from", from)
 	}
 }
@@ -64,7 +64,7 @@
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.brittle.Newest(now)
+	return n.brittle.Snapshot(now)
 }
 
 // HasRoom implements gateway.Notices.
@@ -88,12 +88,12 @@
 	return n.brittle.Admit(n.daemon.clock.Now(), instance.Service, instance.ID, load)
 }
 
-// TurnedAway implements gateway.Notices.
-func (n *notices) TurnedAway(instance *fleet.Instance) {
+// RecordRefusal implements gateway.Notices.
+func (n *notices) RecordRefusal(instance *fleet.Instance) {
 	if !n.anyBrittle.Load() {
 		return
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.brittle.TurnedAway(n.daemon.clock.Now(), instance.Service, instance.ID, int(n.daemon.fleet.live.Load()))
+	n.brittle.RecordRefusal(n.daemon.clock.Now(), instance.Service, instance.ID, int(n.daemon.fleet.live.Load()))
 }
--- a/entry/choice_test.go
+++ b/entry/choice_test.go
@@ -33,7 +33,7 @@
 	d := &dispatch{picker: balance.NewPicker(balance.NewTracker())}
 	for _, slowness := range []float64{0, 0.55, 1, 2} {
 		picked := &balance.Candidate{
-			Instance: view.Instance("i"), Load: balance.Load{Requests: 3, PromptTokens: 500}, Available: true, Of: 2, Crowded: true, Slowness: slowness,
+			Instance: view.Instance("i"), Load: balance.Load{Requests: 3, PromptTokens: 500}, Available: true, CandidateCount: 2, Crowded: true, Slowness: slowness,
 		}
 		choice := overTheWire(t, choiceOf(7, picked))
 		got := d.candidate("dispatcher", view, &balance.Request{}, choice)
--- a/entry/cold.go
+++ b/entry/cold.go
@@ -13,9 +13,9 @@
 }
 
 // setCold holds all daemons together to what a cold instance bears.
-func (n *notices) setCold(learned coordination.LearnCold) {
+func (n *notices) setCold(learned coordination.InstanceCold) {
 	now := n.daemon.clock.Now()
-	until := now.Add(learned.Left)
+	until := now.Add(learned.Remaining)
 	n.mutex.Lock()
 	known, cold := n.cold[learned.Instance]
 	if !cold || until.After(known.until) {
@@ -25,7 +25,7 @@
 	n.applyLimit(learned.Instance)
 	n.mutex.Unlock()
 	if !cold {
-		n.log("Cold.", "instance", learned.Instance, "left_ms", learned.Left.Milliseconds(), "limit_per_s", learned.PerSecond)
+		n.log("Cold.", "instance", learned.Instance, "left_ms", learned.Remaining.Milliseconds(), "limit_per_s", learned.PerSecond)
 		n.limits.SubjectsChanged(now)
 	}
 }
--- a/entry/crashwatch.go
+++ b/entry/crashwatch.go
@@ -38,11 +38,11 @@
 // garbled answer says nothing about the request; a server at which nobody listens any more does.
 type crashWatch struct {
 	now   func() time.Time
-	probe func(ctx context.Context, address string) quarantine.Presence
+	probe func(ctx context.Context, address string) quarantine.ProbeResult
 	// crashed is called with the contents that ran on a server when it crashed.
-	crashed func(at time.Time, instance string, victims []quarantine.Victim)
+	crashed func(at time.Time, instance string, victims []quarantine.InterruptedRequest)
 	// unconfirmedCrash is called with the contents that ran on a server whose address closes new connections.
-	unconfirmedCrash func(at time.Time, instance string, victims []quarantine.Victim)
+	unconfirmedCrash func(at time.Time, instance string, victims []quarantine.InterruptedRequest)
 	log              func(text string, fields ...any)
 	looks            *ring.Ring[*fleet.Instance]
 
@@ -73,11 +73,11 @@
 // series are requests that broke at about one moment.
 type series struct {
 	at      time.Time
-	victims []quarantine.Victim
+	victims []quarantine.InterruptedRequest
 }
 
 // add takes in a request if it broke with the others.
-func (s *series) add(now time.Time, victim quarantine.Victim) {
+func (s *series) add(now time.Time, victim quarantine.InterruptedRequest) {
 	if now.Sub(s.at) <= crashSpan && len(s.victims) < mostVictims {
 		s.victims = append(s.victims, victim)
 	}
@@ -88,17 +88,17 @@
 }
 
 // broke notes that an instance ended the connection of a request.
-func (w *crashWatch) broke(now time.Time, instance *fleet.Instance, victim quarantine.Victim) {
+func (w *crashWatch) broke(now time.Time, instance *fleet.Instance, victim quarantine.InterruptedRequest) {
 	at, report := w.note(now, instance, victim)
 	if report != nil {
-		report(at, instance.ID, []quarantine.Victim{victim})
+		report(at, instance.ID, []quarantine.InterruptedRequest{victim})
 	}
 }
 
 // note records a broken request. It returns when the instance ended the first connection, and the callback for this
 // request if the instance is already known to have crashed or to close new connections; nil otherwise.
-func (w *crashWatch) note(now time.Time, instance *fleet.Instance, victim quarantine.Victim) (
-	at time.Time, report func(at time.Time, instance string, victims []quarantine.Victim),
+func (w *crashWatch) note(now time.Time, instance *fleet.Instance, victim quarantine.InterruptedRequest) (
+	at time.Time, report func(at time.Time, instance string, victims []quarantine.InterruptedRequest),
 ) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -128,7 +128,7 @@
 func (w *crashWatch) beginLook(now time.Time, instance *fleet.Instance, known *brokenInstance) {
 	known.last = series{at: now}
 	known.looked = make(chan struct{})
-	known.looking = w.looks.Offer(instance)
+	known.looking = w.looks.TryPut(instance)
 	if !known.looking {
 		known.lookAgain, known.until = now.Add(crashSpan), known.first.at.Add(listedSpan)
 		close(known.looked)
@@ -231,8 +231,8 @@
 			sleep(ctx, crashLookPause)
 		}
 		presence := w.probe(ctx, instance.Address)
-		crashed := presence == quarantine.PresenceRefused
-		if presence == quarantine.PresenceClosing {
+		crashed := presence == quarantine.ProbeRefused
+		if presence == quarantine.ProbeClosing {
 			w.foundClosing(instance, known)
 		}
 		if crashed || number == crashLooks-1 {
@@ -281,7 +281,7 @@
 }
 
 // victimFields are the fields of a line that tell what ran on a server.
-func victimFields(victims []quarantine.Victim) []any {
+func victimFields(victims []quarantine.InterruptedRequest) []any {
 	fields := []any{"requests", len(victims), "contents", names(victims)}
 	if parts := partNames(victims); parts != "" {
 		fields = append(fields, "parts", parts)
@@ -293,7 +293,7 @@
 const mostLoggedSuspects = 16
 
 // partNames lists the parts of prompts that may have caused a crash, by their IDs and digests.
-func partNames(victims []quarantine.Victim) string {
+func partNames(victims []quarantine.InterruptedRequest) string {
 	var list []string
 	for _, victim := range victims {
 		for _, part := range victim.Parts {
@@ -306,7 +306,7 @@
 }
 
 // names lists contents for the log.
-func names(victims []quarantine.Victim) string {
+func names(victims []quarantine.InterruptedRequest) string {
 	list := make([]string, 0, len(victims))
 	for _, victim := range victims {
 		list = append(list, victim.Content.String())
--- a/entry/crashwatch_test.go
+++ b/entry/crashwatch_test.go
@@ -17,13 +17,13 @@
 	// guard guards the fields below.
 	guard    sync.Mutex
 	looks    int
-	victims  []quarantine.Victim
+	victims  []quarantine.InterruptedRequest
 	crashes  []time.Time
 	refusing bool
-	// closing makes probes return PresenceClosing unless the address refuses connections.
+	// closing makes probes return ProbeClosing unless the address refuses connections.
 	closing bool
 	// unconfirmed are the victims reported for unconfirmed crashes.
-	unconfirmed []quarantine.Victim
+	unconfirmed []quarantine.InterruptedRequest
 	// refusesAfter is how many looks find somebody listening still.
 	refusesAfter int
 }
@@ -35,25 +35,25 @@
 	w := &watched{crashWatch: newCrashWatch()}
 	w.now = time.Now
 	w.log = func(string, ...any) {}
-	w.probe = func(ctx context.Context, _ string) quarantine.Presence {
+	w.probe = func(ctx context.Context, _ string) quarantine.ProbeResult {
 		sleep(ctx, lookTakes)
 		w.guard.Lock()
 		defer w.guard.Unlock()
 		w.looks++
 		switch {
 		case w.refusing && w.looks > w.refusesAfter:
-			return quarantine.PresenceRefused
+			return quarantine.ProbeRefused
 		case w.closing:
-			return quarantine.PresenceClosing
+			return quarantine.ProbeClosing
 		}
-		return quarantine.PresenceListening
+		return quarantine.ProbeListening
 	}
-	w.unconfirmedCrash = func(_ time.Time, _ string, victims []quarantine.Victim) {
+	w.unconfirmedCrash = func(_ time.Time, _ string, victims []quarantine.InterruptedRequest) {
 		w.guard.Lock()
 		defer w.guard.Unlock()
 		w.unconfirmed = append(w.unconfirmed, victims...)
 	}
-	w.crashed = func(at time.Time, _ string, victims []quarantine.Victim) {
+	w.crashed = func(at time.Time, _ string, victims []quarantine.InterruptedRequest) {
 		w.guard.Lock()
 		defer w.guard.Unlock()
 		w.crashes = append(w.crashes, at)
@@ -92,7 +92,7 @@
 	for _, name := range names {
 		var digest quarantine.Digest
 		copy(digest[:], name)
-		w.broke(time.Now(), watchedInstance, quarantine.Victim{Content: digest})
+		w.broke(time.Now(), watchedInstance, quarantine.InterruptedRequest{Content: digest})
 	}
 }
 
--- a/entry/daemon.go
+++ b/entry/daemon.go
@@ -138,18 +138,18 @@
 	d.origins = newOrigins(d)
 	d.pace = newPaceKeeper(d)
 	if d.pace.enabled {
-		d.tracker.SetPaces(d.pace.book)
+		d.tracker.SetSlownessSource(d.pace.book)
 	}
 	d.gateway = gateway.New(gateway.Settings{
-		Now: d.clock.Now, Zone: settings.Zone, RetryAfter: 200 * time.Millisecond, WaitShare: 0.5,
-		ShareOfConnections: func() float64 { return 1 / float64(max(1, d.fleet.live.Load())) },
-		ZoneCost:           d.zoneCost,
-		KeysSure:           d.keysSure,
-		Quotas:             d.quotas,
-		Quarantine:         d.quarantine,
-		Notices:            d.notices,
-		Origins:            d.origins,
-		Samples:            d.pace.samples(),
+		Now: d.clock.Now, Zone: settings.Zone, RetryAfter: 200 * time.Millisecond, MaxWaitShare: 0.5,
+		ConnectionShare: func() float64 { return 1 / float64(max(1, d.fleet.live.Load())) },
+		ZoneCost:        d.zoneCost,
+		KeysCurrent:     d.keysSure,
+		Quotas:          d.quotas,
+		Quarantine:      d.quarantine,
+		Notices:         d.notices,
+		StreamOrigins:   d.origins,
+		Samples:         d.pace.samples(),
 	}, d.upstream, d.tracker, d.budget, d.demand, d)
 	d.dispatch = newDispatch(d)
 	d.gateway.SetChooser(d.dispatch)
@@ -174,7 +174,7 @@
 )
 
 func (d *Daemon) zoneCost() float64 {
-	if int(d.fleet.live.Load())-1 > coordination.DefaultSettings(0).SharePeers {
+	if int(d.fleet.live.Load())-1 > coordination.DefaultSettings(0).MaxSmallFleetPeers {
 		return largeFleetZoneCost
 	}
 	return zoneCost
@@ -201,8 +201,8 @@
 	if d.peers, err = peer.Listen(d.current().PeerAddress, peerKey(d.current().DeploymentKey), d.receive); err != nil {
 		return err
 	}
-	d.peers.Carry(d.paths.carry)
-	d.peers.OnSilent(func(address string, waiting time.Duration) {
+	d.peers.ServeTunnels(d.paths.carry)
+	d.peers.OnUnacknowledged(func(address string, waiting time.Duration) {
 		d.log.add("peers", "Gave a silent connection up.", "address", address, "unacknowledged_ms", waiting.Milliseconds())
 	})
 	return nil
@@ -224,7 +224,7 @@
 	settings.ChecksFence = d.current().ChecksFence
 	if settings.ChecksFence {
 		// Servers turn away what an earlier holder still sends.
-		settings.Lease.OrderPause = 0
+		settings.Lease.TakeoverOrderDelay = 0
 	}
 	settings.RevokeWithin = d.current().RevokeWithin
 	settings.FollowsEvacuations = d.current().EvacuateWithin > 0
@@ -314,7 +314,7 @@
 	var actions []coordination.Action
 	for _, item := range batch.Items {
 		if platform.IsConfiguration(item.Name) && !item.Gone {
-			actions = append(actions, node.ConfigurationLearned(item.Value)...)
+			actions = append(actions, node.ConfigurationReceived(item.Value)...)
 		}
 	}
 	return actions
--- a/entry/deaf_test.go
+++ b/entry/deaf_test.go
@@ -184,7 +184,7 @@
 	defer cancel()
 	seen, err := s.store.wait(ctx, s.caller, since.Revision, wait)
 	if context.Cause(ctx) == context.DeadlineExceeded {
-		err = feed.ErrOverdue.Wrap(err)
+		err = feed.ErrTimeout.Wrap(err)
 	}
 	if err == nil && (seen.at.Era != since.Era || seen.at.Revision <= since.Revision) {
 		return feed.Batch[T]{At: seen.at}, nil
@@ -241,14 +241,14 @@
 func deafConfigurations(node *coordination.Node, _ time.Time, batch feed.Batch[*fleet.Configuration]) []coordination.Action {
 	var actions []coordination.Action
 	for _, item := range batch.Items {
-		actions = append(actions, node.ConfigurationLearned(item.Value)...)
+		actions = append(actions, node.ConfigurationReceived(item.Value)...)
 	}
 	return actions
 }
 
 // control is the control duty without a request path.
 func (f *deafFleet) control(name string, d *Daemon) {
-	ticker := time.NewTicker(coordination.TickEvery)
+	ticker := time.NewTicker(coordination.TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -256,7 +256,7 @@
 			return
 		case <-ticker.C:
 			now := time.Now()
-			f.perform(d, d.node.ObserveOwn(now, map[string]balance.Load{}, nil, coordination.UrgencyNone))
+			f.perform(d, d.node.UpdateOwnLoad(now, map[string]balance.Load{}, nil, coordination.UrgencyNone))
 			f.perform(d, d.node.Tick(now))
 			d.publishWatching(now)
 		case happened := <-d.work.events.Items():
@@ -279,7 +279,7 @@
 				f.send(address, action.Message)
 			}
 		case coordination.CallLease:
-			d.work.events.Offer(func(node *coordination.Node, now time.Time) []coordination.Action {
+			d.work.events.TryPut(func(node *coordination.Node, now time.Time) []coordination.Action {
 				return node.LeaseAnswered(now, lease.OutcomeFailed, lease.Stored{})
 			})
 		case coordination.Refresh:
@@ -291,7 +291,7 @@
 func (f *deafFleet) send(address string, message coordination.Message) {
 	receiver := f.daemons[address]
 	time.AfterFunc(messageTime, func() {
-		receiver.work.events.Offer(func(node *coordination.Node, now time.Time) []coordination.Action { return node.Receive(now, message) })
+		receiver.work.events.TryPut(func(node *coordination.Node, now time.Time) []coordination.Action { return node.Receive(now, message) })
 	})
 }
 
--- a/entry/demand.go
+++ b/entry/demand.go
@@ -68,8 +68,8 @@
 	return load
 }
 
-// Enter implements gateway.DemandObserver.
-func (w *demandCounter) Enter(service, model string) func() {
+// RequestStarted implements gateway.DemandObserver.
+func (w *demandCounter) RequestStarted(service, model string) func() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	load := w.load(service, model)
@@ -94,8 +94,8 @@
 	load.refusedPerSecond += 1 / rateSpan.Seconds()
 }
 
-// Lacking implements gateway.DemandObserver.
-func (w *demandCounter) Lacking(service, model, adapter string) func() {
+// ModelMissing implements gateway.DemandObserver.
+func (w *demandCounter) ModelMissing(service, model, adapter string) func() {
 	w.wait(service, model, adapter, 1)
 	select {
 	case w.urgent <- struct{}{}:
@@ -104,8 +104,8 @@
 	return func() { w.wait(service, model, adapter, -1) }
 }
 
-// LackingSoftware implements gateway.DemandObserver.
-func (w *demandCounter) LackingSoftware(service, model, software string) func() {
+// SoftwareMissing implements gateway.DemandObserver.
+func (w *demandCounter) SoftwareMissing(service, model, software string) func() {
 	w.waitFor(service, model, software, 1)
 	return func() { w.waitFor(service, model, software, -1) }
 }
--- a/entry/demand_test.go
+++ b/entry/demand_test.go
@@ -13,7 +13,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newDemandCounter()
 		for range 40 {
-			w.Enter("llm", "m")()
+			w.RequestStarted("llm", "m")()
 			time.Sleep(250 * time.Millisecond)
 		}
 		loads := w.all()
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -91,7 +91,7 @@
 		return nil
 	}
 	return &balance.Candidate{
-		Instance: instance, Load: choice.Load, Available: true, Of: choice.Of, Crowded: choice.Crowded, By: by,
+		Instance: instance, Load: choice.Load, Available: true, CandidateCount: choice.CandidateCount, Crowded: choice.Crowded, By: by,
 		Slowness: choice.Slowness,
 	}
 }
@@ -118,7 +118,7 @@
 		return &coordination.Choice{ID: id}
 	}
 	return &coordination.Choice{
-		ID: id, Instance: picked.Instance.ID, Load: picked.Load, Of: picked.Of, Crowded: picked.Crowded, Slowness: picked.Slowness,
+		ID: id, Instance: picked.Instance.ID, Load: picked.Load, CandidateCount: picked.CandidateCount, Crowded: picked.Crowded, Slowness: picked.Slowness,
 	}
 }
 
@@ -127,16 +127,16 @@
 func (d *dispatch) takeLoad(from string, load *coordination.Load) {
 	group := d.group.Load()
 	tellsNothing := load.Changes && len(load.Requests) == 0
-	if tellsNothing || group.Dispatching && !group.Leads(from) {
+	if tellsNothing || group.Dispatching && !group.HasMember(from) {
 		return
 	}
-	d.daemon.tracker.TakePeer(time.Now(), from, load.Requests, load.Changes)
+	d.daemon.tracker.MergePeer(time.Now(), from, load.Requests, load.Changes)
 }
 
 // takeGroup takes in the load of another group.
 func (d *dispatch) takeGroup(from string, told *coordination.GroupLoad) {
 	if d.group.Load().Dispatching {
-		d.daemon.tracker.TakePeer(time.Now(), groupPrefix+from, told.Loads, told.Changes)
+		d.daemon.tracker.MergePeer(time.Now(), groupPrefix+from, told.Loads, told.Changes)
 	}
 }
 
--- a/entry/duties.go
+++ b/entry/duties.go
@@ -13,7 +13,7 @@
 
 // runControl is the control duty: the only one that touches the node.
 func (d *Daemon) runControl() {
-	ticker := time.NewTicker(coordination.TickEvery)
+	ticker := time.NewTicker(coordination.TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -24,9 +24,9 @@
 		case happened := <-d.work.events.Items():
 			d.perform(happened(d.node, d.clock.Now()))
 		case <-d.demand.urgent:
-			d.perform(d.node.ObserveOwn(d.clock.Now(), d.tracker.Own(time.Now()), d.demand.all(), coordination.UrgencyLacking))
+			d.perform(d.node.UpdateOwnLoad(d.clock.Now(), d.tracker.OwnLoads(time.Now()), d.demand.all(), coordination.UrgencyWaiting))
 		case <-d.tracker.Changed():
-			d.perform(d.node.ObserveOwn(d.clock.Now(), d.tracker.Own(time.Now()), d.demand.all(), coordination.UrgencyLoad))
+			d.perform(d.node.UpdateOwnLoad(d.clock.Now(), d.tracker.OwnLoads(time.Now()), d.demand.all(), coordination.UrgencyLoad))
 		}
 		d.publish()
 	}
@@ -44,12 +44,12 @@
 	if now.Sub(d.control.fleetAt) >= fleetRefresh {
 		d.publishFleet(now)
 	}
-	d.perform(d.node.ObserveOwn(now, d.tracker.Own(time.Now()), d.demand.all(), coordination.UrgencyNone))
+	d.perform(d.node.UpdateOwnLoad(now, d.tracker.OwnLoads(time.Now()), d.demand.all(), coordination.UrgencyNone))
 	d.perform(d.node.Tick(now))
 	if now.Sub(d.control.forgotAt) >= forgetPause {
 		d.control.forgotAt = now
 		view := d.gateway.View()
-		d.tracker.Forget(time.Now(), func(id string) bool { return view.Instance(id) != nil })
+		d.tracker.Prune(time.Now(), func(id string) bool { return view.Instance(id) != nil })
 		d.notices.tick(now, view)
 		d.pace.forget(view)
 		d.origins.forget(now)
@@ -76,7 +76,7 @@
 		}
 	}
 	// After the snapshot that it stands for.
-	d.assurance.publish(d.node.SureSince())
+	d.assurance.publish(d.node.ProvenSince())
 }
 
 // publishAddresses makes the answer about addresses: all daemons that live and
@@ -91,7 +91,7 @@
 	live := int64(0)
 	book := addressBook{}
 	members := d.node.Members()
-	d.pace.setPlace(d.node.Group(), d.node.TellsAll(), members)
+	d.pace.setPlace(d.node.Group(), d.node.SendsLoadToAll(), members)
 	for _, other := range members {
 		book[other.Name] = other.PeerAddress
 		if other.State == member.Dead {
@@ -119,7 +119,7 @@
 // publishWatching tells those that follow the store whether this daemon watches it.
 func (d *Daemon) publishWatching(now time.Time) {
 	d.fleet.rank.Store(int64(d.node.Rank()))
-	d.following.othersAway.Store(d.node.OthersAway(now))
+	d.following.othersAway.Store(d.node.PeersWithoutStore(now))
 	d.following.watching.Store(d.node.Watching(now))
 }
 
@@ -134,7 +134,7 @@
 		return
 	}
 	d.control.fleetRevision = d.node.MembersRevision()
-	members := d.node.HeardMembers(now)
+	members := d.node.RecentMembers(now)
 	known := d.control.discovery.Fleet(now, d.current().Name, members, d.otherSeeds())
 	d.quotas.SetFleet(now, known)
 	d.notices.limits.SetFleet(now, known)
@@ -145,7 +145,7 @@
 // fleetUnchanged reports whether the daemons are as they were when they were last handed on. In a small fleet, or soon
 // after the start, what counts of them changes with the time as well.
 func (d *Daemon) fleetUnchanged(now time.Time) bool {
-	settled := now.Sub(d.started) > fleetSettles && !d.node.TellsAll()
+	settled := now.Sub(d.started) > fleetSettles && !d.node.SendsLoadToAll()
 	return settled && d.control.fleetRevision == d.node.MembersRevision()
 }
 
@@ -195,27 +195,27 @@
 		case coordination.Broadcast:
 			d.peers.SendAll(action.Addresses, action.Message)
 		case coordination.CallLease:
-			d.work.leases.Offer(action)
-		case coordination.AskReport:
-			d.work.reports.Offer(action)
+			d.work.leases.TryPut(action)
+		case coordination.RequestReport:
+			d.work.reports.TryPut(action)
 		case coordination.SendOrder:
-			d.work.orders.Offer(action)
+			d.work.orders.TryPut(action)
 		case coordination.ReadConfiguration:
 			d.assurance.request()
-		case coordination.LearnCrashes:
+		case coordination.CrashesReceived:
 			d.quarantine.learn(action.Update)
-		case coordination.LearnNotices:
+		case coordination.NoticesReceived:
 			d.notices.learn(action.Update)
-		case coordination.LearnBrittle:
+		case coordination.BrittleReceived:
 			d.notices.learnBrittle(action.Update)
-		case coordination.LearnCold:
+		case coordination.InstanceCold:
 			d.notices.setCold(action)
 		case coordination.Refresh:
 			select {
 			case d.following.refresh[action.Source] <- struct{}{}:
 			default:
 			}
-		case coordination.Decision:
+		case coordination.LogEntry:
 			d.log.add(action.Part, action.Text, action.Fields...)
 		}
 	}
@@ -253,7 +253,7 @@
 	case message.Load != nil:
 		d.dispatch.takeLoad(message.From, message.Load)
 	}
-	d.work.events.Offer(func(node *coordination.Node, now time.Time) []coordination.Action {
+	d.work.events.TryPut(func(node *coordination.Node, now time.Time) []coordination.Action {
 		return node.Receive(now, message)
 	})
 }
--- a/entry/follow.go
+++ b/entry/follow.go
@@ -157,7 +157,7 @@
 		take, call = f.changed, f.watch
 	}
 	batch, err := f.interruptible(call)
-	overdue := f.known && !f.catchingUp && feed.ErrOverdue.Has(err)
+	overdue := f.known && !f.catchingUp && feed.ErrTimeout.Has(err)
 	if errRefresh.Has(err) || overdue {
 		f.catchUp(overdue)
 		return true
--- a/entry/gossip.go
+++ b/entry/gossip.go
@@ -17,11 +17,11 @@
 		return
 	}
 	d.control.gossipedAt = now
-	bulletin := &coordination.Bulletin{Crashes: d.quarantine.newest(now), Notices: d.notices.newest(now), Brittle: d.notices.newestBrittle(now)}
+	bulletin := &coordination.ObservationUpdate{Crashes: d.quarantine.newest(now), Notices: d.notices.newest(now), Brittle: d.notices.newestBrittle(now)}
 	self := d.current().Name
 	address := d.fleet.peerAddresses.Load().any(self)
 	if address == "" || bulletin.Crashes.Empty() && bulletin.Notices.Empty() && bulletin.Brittle.Empty() {
 		return
 	}
-	d.peers.Send(address, coordination.Message{From: self, Bulletin: bulletin})
+	d.peers.Send(address, coordination.Message{From: self, ObservationUpdate: bulletin})
 }
--- a/entry/log_test.go
+++ b/entry/log_test.go
@@ -54,7 +54,7 @@
 func BenchmarkLogLineDropped(b *testing.B) {
 	book := newLogBook("info", "n", &gatedWriter{gate: make(chan struct{})})
 	for b.Loop() {
-		book.lines.Offer(line{text: "request: Decided."})
+		book.lines.TryPut(line{text: "request: Decided."})
 	}
 }
 
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -140,7 +140,7 @@
 	if key.reason == "" {
 		key.reason = "none"
 	}
-	if event.Tenant != "" && event.Step.Final() {
+	if event.Tenant != "" && event.Step.IsFinal() {
 		m.tenantSeries(event).Inc(1)
 	}
 	m.countYield(event)
@@ -156,10 +156,10 @@
 
 // countYield counts a request that waits for more urgent ones, and at its end for how long it did.
 func (m *metrics) countYield(event *gateway.Event) {
-	if event.Step == gateway.StepPaced && event.Reason == gateway.ReasonYields {
+	if event.Step == gateway.StepPaced && event.Reason == gateway.ReasonYielding {
 		m.yielded.Inc(1)
 	}
-	if event.Step.Final() && event.Yielded > 0 {
+	if event.Step.IsFinal() && event.Yielded > 0 {
 		m.yieldedMillis.Inc(event.Yielded.Milliseconds())
 	}
 }
@@ -222,7 +222,7 @@
 		tagged := m.root.Tagged(map[string]string{"step": string(key.step), "kind": key.kind, "reason": string(key.reason)})
 		counter = tagged.Counter("request_decisions")
 		m.steps[key] = counter
-		if key.step.Final() {
+		if key.step.IsFinal() {
 			m.took[key] = tagged.Histogram("request_seconds", exposition.DurationBuckets())
 		}
 	}
@@ -246,7 +246,7 @@
 	d.metrics.instances.Update(float64(view.InstanceCount()))
 	d.metrics.daemons.Update(float64(d.fleet.live.Load()))
 	held := 0.0
-	if d.node.Holds(now) {
+	if d.node.HoldsLease(now) {
 		held = 1
 	}
 	d.metrics.leaseHeld.Update(held)
@@ -254,7 +254,7 @@
 	d.metrics.linesDropped.Update(float64(d.log.lines.Dropped()))
 	counts := d.peers.Counts()
 	d.metrics.peersDropped.Update(float64(counts.Dropped))
-	d.metrics.peersSilent.Update(float64(counts.Silent))
+	d.metrics.peersSilent.Update(float64(counts.UnacknowledgedClosed))
 	contents, parts := d.quarantine.heldCounts(now)
 	d.metrics.quarantined.Update(float64(contents))
 	d.metrics.quarantinedParts.Update(float64(parts))
--- a/entry/metrics_test.go
+++ b/entry/metrics_test.go
@@ -24,7 +24,7 @@
 	counted := newMetrics()
 	request := &gateway.Request{ID: "r", Arrived: time.Now()}
 	steps := []gateway.Event{
-		{Step: gateway.StepPaced, Reason: gateway.ReasonYields},
+		{Step: gateway.StepPaced, Reason: gateway.ReasonYielding},
 		{Step: gateway.StepPaced},
 		{Step: gateway.StepSent, Yielded: 1500 * time.Millisecond},
 		{Step: gateway.StepEnded, Reason: gateway.ReasonAnswered, Yielded: 1500 * time.Millisecond},
@@ -47,10 +47,10 @@
 	counted := newMetrics()
 	request := &gateway.Request{ID: "r", Arrived: time.Now()}
 	steps := []gateway.Event{
-		{Step: gateway.StepStreamBroke, Framing: gateway.FramedByConnection},
+		{Step: gateway.StepStreamTruncated, Framing: gateway.FramedByConnection},
 		{Step: gateway.StepEnded, Reason: gateway.ReasonAnswered, Framing: gateway.FramedByConnection},
 		{Step: gateway.StepEnded, Reason: gateway.ReasonAnswered, Framing: gateway.FramedByConnection},
-		{Step: gateway.StepEnded, Reason: gateway.ReasonClientGone},
+		{Step: gateway.StepEnded, Reason: gateway.ReasonClientDisconnected},
 	}
 	for i := range steps {
 		steps[i].Request = request
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -42,47 +42,47 @@
 	limited atomic.Pointer[instanceLimits]
 
 	mutex sync.Mutex
-	book  *notice.Book
+	book  *notice.Tracker
 	// spent is until when limited instances have no turn, as far as this daemon has heard.
 	spent map[string]time.Time
 	// cold are the instances that are cold.
 	cold map[string]coldInstance
 	// brittle are the services whose instances fall over if they turn requests away, and anyBrittle says that there are any.
-	brittle    *brittle.Book
+	brittle    *brittle.Tracker
 	anyBrittle atomic.Bool
 }
 
 func newNotices(d *Daemon) *notices {
-	n := &notices{daemon: d, book: notice.NewBook(), spent: map[string]time.Time{}, cold: map[string]coldInstance{}, brittle: brittle.NewBook()}
+	n := &notices{daemon: d, book: notice.NewTracker(), spent: map[string]time.Time{}, cold: map[string]coldInstance{}, brittle: brittle.NewTracker()}
 	n.limited.Store(&instanceLimits{})
 	ports := d.limiterPorts("limits", func(message *limiter.Message) coordination.Message {
 		return coordination.Message{InstanceLimit: message}
 	})
 	ports.Subjects = func() limiter.Subjects { return n.limited.Load() }
-	ports.Strict, ports.Debt = true, 1
+	ports.Strict, ports.InitialDebt = true, 1
 	n.limits = limiter.New(ports)
 	n.slots = newSlots(n)
 	return n
 }
 
-// Bars implements gateway.Notices.
-func (n *notices) Bars() []gateway.Bar {
+// Exclusions implements gateway.Notices.
+func (n *notices) Exclusions() []gateway.Exclusion {
 	if !n.any.Load() {
 		return nil
 	}
 	now := n.daemon.clock.Now()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	var bars []gateway.Bar
-	for _, instance := range n.book.LeavingNow(now) {
-		bars = append(bars, gateway.Bar{Instance: instance, Reason: gateway.ReasonLeaving})
+	var bars []gateway.Exclusion
+	for _, instance := range n.book.RecentlyLeaving(now) {
+		bars = append(bars, gateway.Exclusion{Instance: instance, Reason: gateway.ReasonLeaving})
 	}
-	for instance, until := range n.book.Resting(now) {
-		bars = append(bars, gateway.Bar{Instance: instance, Reason: gateway.ReasonResting, Until: until})
+	for instance, until := range n.book.BackingOff(now) {
+		bars = append(bars, gateway.Exclusion{Instance: instance, Reason: gateway.ReasonResting, Until: until})
 	}
 	for instance, until := range n.spent {
 		if now.Before(until) {
-			bars = append(bars, gateway.Bar{Instance: instance, Reason: gateway.ReasonAtLimit, Until: until})
+			bars = append(bars, gateway.Exclusion{Instance: instance, Reason: gateway.ReasonAtLimit, Until: until})
 		} else {
 			delete(n.spent, instance)
 		}
@@ -90,23 +90,23 @@
 	return bars
 }
 
-// Barred implements gateway.Notices.
-func (n *notices) Barred(instance string) bool {
+// Excluded implements gateway.Notices.
+func (n *notices) Excluded(instance string) bool {
 	if !n.any.Load() {
 		return false
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.book.Leaving(instance) || n.daemon.clock.Now().Before(n.book.RestUntil(instance))
+	return n.book.Leaving(instance) || n.daemon.clock.Now().Before(n.book.BackoffUntil(instance))
 }
 
-// Admit implements gateway.Notices.
-func (n *notices) Admit(ctx context.Context, instance string, within time.Duration) gateway.Turn {
+// AcquireTurn implements gateway.Notices.
+func (n *notices) AcquireTurn(ctx context.Context, instance string, within time.Duration) gateway.Turn {
 	limit, limited := n.limited.Load().Rate(instance)
 	if !limited {
 		return gateway.Turn{Granted: true}
 	}
-	turn := turnOf(n.limits.Take(ctx, limiter.Request{Subject: instance, Limit: limit, Cost: 1, Within: within}), limit)
+	turn := turnOf(n.limits.Take(ctx, limiter.Request{Subject: instance, Limit: limit, Cost: 1, MaxWait: within}), limit)
 	if !turn.Granted {
 		n.spend(instance, turn.Wait)
 	}
@@ -121,7 +121,7 @@
 	case outcome.Unsure:
 		turn.Wait = unsureSpent
 	case !outcome.Granted:
-		longest := time.Duration(float64(time.Second)/limit.PerSecond) + quota.TurnSpan
+		longest := time.Duration(float64(time.Second)/limit.PerSecond) + quota.MaxTurnWait
 		turn.Wait = min(outcome.Wait, longest)
 	}
 	return turn
@@ -144,7 +144,7 @@
 }
 
 // hear takes in what a server says of itself in an answer to this daemon.
-func (n *notices) hear(heard fleet.Heard) {
+func (n *notices) hear(heard fleet.ObservedNotice) {
 	now := n.daemon.clock.Now()
 	if unreadable := heard.Notice.Unreadable; len(unreadable) > 0 {
 		n.daemon.metrics.unreadableNotices.Inc(1)
@@ -152,17 +152,17 @@
 	}
 	n.hearBrittle(now, &heard)
 	n.mutex.Lock()
-	change := n.book.Hear(now, &heard)
-	told := n.book.Evidence(heard.Instance)
+	change := n.book.Observe(now, &heard)
+	told := n.book.Snapshot(heard.Instance)
 	n.noteAny()
 	n.mutex.Unlock()
 	if change.Empty() {
 		return
 	}
 	n.take(now, change, "answer")
-	if change.Shared() {
-		n.daemon.work.events.Offer(func(node *coordination.Node, _ time.Time) []coordination.Action {
-			return node.TellNotices(notice.Update{Items: []notice.Item{told}})
+	if change.MustBroadcast() {
+		n.daemon.work.events.TryPut(func(node *coordination.Node, _ time.Time) []coordination.Action {
+			return node.BroadcastNotices(notice.Update{Items: []notice.Item{told}})
 		})
 	}
 }
@@ -171,7 +171,7 @@
 func (n *notices) learn(update notice.Update) {
 	now := n.daemon.clock.Now()
 	n.mutex.Lock()
-	changes := n.book.Learn(now, update)
+	changes := n.book.Merge(now, update)
 	n.noteAny()
 	n.mutex.Unlock()
 	for i := range changes {
@@ -185,23 +185,23 @@
 	fields := []any{"instance", change.Instance, "from", from}
 	if change.Leaving {
 		fields = append(fields, "leaving", true)
-		n.daemon.work.events.Offer(func(node *coordination.Node, now time.Time) []coordination.Action {
-			return node.InstanceLeaves(now, change.Instance)
+		n.daemon.work.events.TryPut(func(node *coordination.Node, now time.Time) []coordination.Action {
+			return node.InstanceLeaving(now, change.Instance)
 		})
 	}
 	switch {
 	case change.Limited:
 		fields = append(fields, "limit_per_s", change.PerSecond)
-	case change.Lifted:
+	case change.LimitRemoved:
 		fields = append(fields, "limit_per_s", "none")
 	}
-	if change.Limited || change.Lifted {
+	if change.Limited || change.LimitRemoved {
 		n.setLimit(now, change.Instance)
 	}
-	if !change.RestUntil.IsZero() {
-		fields = append(fields, "rest_ms", change.RestUntil.Sub(now).Milliseconds())
-		n.daemon.work.events.Offer(func(node *coordination.Node, _ time.Time) []coordination.Action {
-			return node.InstanceRests(change.Instance, change.RestUntil)
+	if !change.BackoffUntil.IsZero() {
+		fields = append(fields, "rest_ms", change.BackoffUntil.Sub(now).Milliseconds())
+		n.daemon.work.events.TryPut(func(node *coordination.Node, _ time.Time) []coordination.Action {
+			return node.BackOffInstance(change.Instance, change.BackoffUntil)
 		})
 	}
 	n.log("Said of itself.", fields...)
@@ -214,7 +214,7 @@
 	n.applyLimit(instance)
 	n.mutex.Unlock()
 	n.limits.SubjectsChanged(now)
-	n.daemon.work.events.Offer(func(node *coordination.Node, now time.Time) []coordination.Action {
+	n.daemon.work.events.TryPut(func(node *coordination.Node, now time.Time) []coordination.Action {
 		return node.InstanceLimited(now, instance, named)
 	})
 }
@@ -228,17 +228,17 @@
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.book.Newest(now)
+	return n.book.Recent(now)
 }
 
 // tick forgets what no longer counts and sets the gauges.
 func (n *notices) tick(now time.Time, view *fleet.View) {
 	n.mutex.Lock()
-	n.book.Forget(now, func(id string) bool { return view.Instance(id) != nil })
+	n.book.Prune(now, func(id string) bool { return view.Instance(id) != nil })
 	n.forgetCold(now)
-	brittleBefore := n.brittle.Services()
-	n.brittle.Forget(now, func(id string) bool { return view.Instance(id) != nil })
-	brittleServices := n.brittle.Services()
+	brittleBefore := n.brittle.Count()
+	n.brittle.Prune(now, func(id string) bool { return view.Instance(id) != nil })
+	brittleServices := n.brittle.Count()
 	n.anyBrittle.Store(brittleServices > 0)
 	n.noteAny()
 	leaving, limited, resting := n.book.Counts(now)
--- a/entry/observer.go
+++ b/entry/observer.go
@@ -49,7 +49,7 @@
 
 // add takes a line.
 func (b *logBook) add(part, text string, fields ...any) {
-	b.lines.Offer(line{at: time.Now(), text: part + ": " + text, fields: fields})
+	b.lines.TryPut(line{at: time.Now(), text: part + ": " + text, fields: fields})
 }
 
 // run writes lines until ctx ends, then those that are left.
@@ -129,7 +129,7 @@
 			fields = append(fields, "software", event.Software)
 		}
 		if event.Request.ResumeAfter != "" {
-			fields = append(fields, "resumes", loggedID(event.Request.Resumes), "after", loggedID(event.Request.ResumeAfter))
+			fields = append(fields, "resumes", loggedID(event.Request.ResumedRequestID), "after", loggedID(event.Request.ResumeAfter))
 		}
 		fields = append(fields, "left_ms", event.Left.Milliseconds(), "candidates", event.Candidates, "load", event.Load.Requests, "prompt_tokens", event.Load.PromptTokens)
 		if event.ChosenBy != "" {
@@ -142,7 +142,7 @@
 	if event.HeldFor != "" {
 		fields = append(fields, "held_for", event.HeldFor)
 	}
-	if event.TellsPrompt() && len(event.Request.Prompt) > 0 {
+	if event.NeedsPromptParts() && len(event.Request.Prompt) > 0 {
 		fields = append(fields, "prompt", loggedPrompt(event.Request.Prompt))
 	}
 	if event.Forecast > 0 {
@@ -160,7 +160,7 @@
 	if late := event.Late(d.clock.Now()); late != gateway.OnTime {
 		fields = append(fields, "late", string(late))
 	}
-	if event.Step.Final() && event.Reason != gateway.ReasonAnswered && event.Phase != "" {
+	if event.Step.IsFinal() && event.Reason != gateway.ReasonAnswered && event.Phase != "" {
 		fields = append(fields, "phase", string(event.Phase))
 	}
 	if event.Framing == gateway.FramedByConnection {
--- a/entry/orders.go
+++ b/entry/orders.go
@@ -33,7 +33,7 @@
 		return
 	}
 	at := d.clock.Now()
-	crashed := d.upstream.Probe(d.ctx, address) == quarantine.PresenceRefused
+	crashed := d.upstream.Probe(d.ctx, address) == quarantine.ProbeRefused
 	d.log.add("instances", "Refused a connection.", "instance", instance, "crashed", crashed)
 	if crashed {
 		d.instanceCrashed(at, instance)
@@ -42,7 +42,7 @@
 
 // instanceCrashed tells the planner that an instance crashed at a moment.
 func (d *Daemon) instanceCrashed(at time.Time, instance string) {
-	d.work.events.Offer(func(node *coordination.Node, now time.Time) []coordination.Action {
+	d.work.events.TryPut(func(node *coordination.Node, now time.Time) []coordination.Action {
 		return node.InstanceCrashed(at, now, instance)
 	})
 }
--- a/entry/origins.go
+++ b/entry/origins.go
@@ -27,35 +27,35 @@
 // origins tells this daemon and the others which software version began a stream. It implements gateway.Origins.
 type origins struct {
 	daemon *Daemon
-	keeper *resumption.Keeper
+	keeper *resumption.Tracker
 	calls  *calls.Calls[*resumption.Answer]
 	// observedAt is when the control duty last looked at the versions.
 	observedAt time.Time
 }
 
 func newOrigins(d *Daemon) *origins {
-	return &origins{daemon: d, keeper: resumption.NewKeeper(), calls: calls.New[*resumption.Answer]()}
+	return &origins{daemon: d, keeper: resumption.NewTracker(), calls: calls.New[*resumption.Answer]()}
 }
 
-// Began implements gateway.Origins.
-func (o *origins) Began(begun gateway.BegunStream) {
+// RecordStream implements gateway.Origins.
+func (o *origins) RecordStream(begun gateway.StartedStream) {
 	now := o.daemon.clock.Now()
 	left := begun.Request.Arrived.Add(takenUpWithin(begun.Route, begun.Request)).Sub(now)
 	stream := resumption.Stream{ID: begun.Request.ID, Service: begun.Service, Software: begun.Software, Left: left}
-	o.tell(o.keeper.Began(now, stream))
-	if resumes := begun.Request.Resumes; resumes != "" && begun.Request.ResumeAfter != "" {
+	o.tell(o.keeper.RecordStream(now, stream))
+	if resumes := begun.Request.ResumedRequestID; resumes != "" && begun.Request.ResumeAfter != "" {
 		// Its client goes on naming the first try. One that begins anew has its first event from this one.
 		stream.ID = resumes
-		o.tell(o.keeper.Began(now, stream))
+		o.tell(o.keeper.RecordStream(now, stream))
 	}
 }
 
 // takenUpWithin is how long after a request its client may take its stream up.
 func takenUpWithin(route *fleet.Route, request *gateway.Request) time.Duration {
-	return min(max(request.Patience, route.Timeout), waitsPerTimeout*route.Timeout)
+	return min(max(request.ClientTimeout, route.Timeout), waitsPerTimeout*route.Timeout)
 }
 
-func (o *origins) tell(tells []resumption.Tell) {
+func (o *origins) tell(tells []resumption.Update) {
 	for _, told := range tells {
 		o.daemon.metrics.streamsTold.Inc(int64(len(told.Streams)))
 		o.send(told.Daemon, &resumption.Message{Streams: told.Streams})
@@ -81,9 +81,9 @@
 // Find implements gateway.Origins.
 func (o *origins) Find(ctx context.Context, request *gateway.Request, route *fleet.Route, service string) (gateway.StreamOrigin, bool) {
 	askedAt := o.daemon.clock.Now()
-	began, by, answers := o.find(ctx, request.Resumes, route, service)
+	began, by, answers := o.find(ctx, request.ResumedRequestID, route, service)
 	o.daemon.metrics.takenUp(by).Inc(1)
-	o.daemon.log.add("origin", "Looked up.", "request", request.ID, "resumes", loggedID(request.Resumes), "service", began.Service,
+	o.daemon.log.add("origin", "Looked up.", "request", request.ID, "resumes", loggedID(request.ResumedRequestID), "service", began.Service,
 		"by", by, "software", began.Software, "answers", answers, "took_ms", o.daemon.clock.Since(askedAt).Milliseconds())
 	return gateway.StreamOrigin{Service: began.Service, Software: began.Software}, by != foundNowhere
 }
@@ -121,7 +121,7 @@
 func (o *origins) ask(ctx context.Context, id, service string) []*resumption.Answer {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	names := o.keeper.Asked(id)
+	names := o.keeper.QueryTargets(id)
 	answers := make(chan *resumption.Answer, len(names))
 	for _, name := range names {
 		go func() { answers <- o.askOne(ctx, name, id, service) }()
@@ -163,14 +163,14 @@
 	case message.Answer != nil:
 		o.calls.Answered(message.Answer.ID, message.Answer)
 	default:
-		o.keeper.Take(now, message.Streams)
+		o.keeper.Merge(now, message.Streams)
 	}
 }
 
 // tick takes in what the control duty knows of servers.
 func (o *origins) tick(now time.Time) {
-	if o.daemon.node.HearsOfInstances(now) {
-		o.keeper.SetFresh(now)
+	if o.daemon.node.ReceivesInstanceChanges(now) {
+		o.keeper.MarkSynced(now)
 	}
 	if now.Sub(o.observedAt) < originsEvery {
 		return
@@ -181,7 +181,7 @@
 		return
 	}
 	services, span := resumableServices(view.Configuration())
-	o.keeper.SetSpan(span)
+	o.keeper.SetVersionWindow(span)
 	for service := range services {
 		tells := o.keeper.Observe(now, service, softwareOf(view.Instances(service)))
 		if tells != nil {
@@ -224,10 +224,10 @@
 
 // forget drops what no longer counts and sets the gauges.
 func (o *origins) forget(now time.Time) {
-	o.keeper.Forget(now)
+	o.keeper.Prune(now)
 	counts := o.keeper.Counts()
 	o.daemon.metrics.streamsKept.Update(float64(counts.Streams))
-	o.daemon.metrics.mixedServices.Update(float64(counts.Mixed))
+	o.daemon.metrics.mixedServices.Update(float64(counts.MixedServices))
 }
 
 // setMembers takes in the other daemons that live.
--- a/entry/pace.go
+++ b/entry/pace.go
@@ -25,7 +25,7 @@
 	daemon *Daemon
 	// enabled is the setting learn_pace. Without it nothing is measured, told or taken in, and the book stays empty.
 	enabled bool
-	book    *pace.Book
+	book    *pace.Tracker
 	sharer  *pace.Sharer
 	models  atomic.Pointer[servedModels]
 }
@@ -39,14 +39,14 @@
 type servedModel struct{ service, model string }
 
 func newPaceKeeper(d *Daemon) *paceKeeper {
-	book := pace.NewBook()
+	book := pace.NewTracker()
 	k := &paceKeeper{daemon: d, enabled: d.current().LearnPace, book: book, sharer: pace.NewSharer(book)}
 	k.models.Store(&servedModels{})
 	return k
 }
 
 // samples returns what hears the samples of the request path, or nil.
-func (k *paceKeeper) samples() gateway.SampleObserver {
+func (k *paceKeeper) samples() gateway.PaceObserver {
 	if !k.enabled {
 		return nil
 	}
@@ -109,29 +109,29 @@
 
 // setPlace takes in this daemon's place in the fleet. Daemons are named by their peer addresses.
 func (k *paceKeeper) setPlace(group *coordination.Group, tellsAll bool, members []member.Member) {
-	place := pace.Place{
-		Small: tellsAll, Dispatcher: group.Address, Dispatching: group.Dispatching, Others: group.Others,
-		SamplePause: groupPause(len(group.Others)),
+	place := pace.Role{
+		AllToAll: tellsAll, Dispatcher: group.Address, Dispatching: group.Dispatching, Others: group.Others,
+		SampleInterval: groupPause(len(group.Others)),
 	}
 	self := k.daemon.current().Name
 	for _, other := range members {
 		switch {
 		case tellsAll && other.Name != self && other.State != member.Dead:
 			place.Others = append(place.Others, other.PeerAddress)
-		case group.Leads(other.Name):
+		case group.HasMember(other.Name):
 			place.Members = append(place.Members, other.PeerAddress)
 		}
 	}
-	k.sharer.SetPlace(place)
+	k.sharer.SetRole(place)
 }
 
 // forget drops instances that are gone and sets the gauges.
 func (k *paceKeeper) forget(view *fleet.View) {
-	k.book.Forget(func(id string) bool { return view.Instance(id) != nil })
+	k.book.Prune(func(id string) bool { return view.Instance(id) != nil })
 	summary := k.book.Summary()
 	k.daemon.metrics.paces.Update(float64(summary.Count))
-	k.daemon.metrics.leastSlowness.Update(summary.Least)
-	k.daemon.metrics.mostSlowness.Update(summary.Most)
+	k.daemon.metrics.leastSlowness.Update(summary.Min)
+	k.daemon.metrics.mostSlowness.Update(summary.Max)
 }
 
 // directory tells what the snapshot in force says of instances and models.
--- a/entry/paths.go
+++ b/entry/paths.go
@@ -22,7 +22,7 @@
 // paths are the ways of this daemon to servers: its own, and through other daemons while its own are cut.
 type paths struct {
 	daemon *Daemon
-	book   *reach.Book
+	book   *reach.Tracker
 	dialer *reach.Dialer
 	relays *reach.Relays
 	// addresses are those of the servers in the last view that was looked at for them.
@@ -37,7 +37,7 @@
 }
 
 func newPaths(daemon *Daemon, direct platform.Dial) *paths {
-	p := &paths{daemon: daemon, book: reach.NewBook(), relays: reach.NewRelays(daemon.current().Zone)}
+	p := &paths{daemon: daemon, book: reach.NewTracker(), relays: reach.NewRelays(daemon.current().Zone)}
 	p.addresses.Store(&serverAddresses{})
 	p.dialer = reach.NewDialer(p.book, daemon.clock.Now, reach.Dial(direct), p.throughOthers)
 	return p
@@ -63,16 +63,16 @@
 func (p *paths) through(ctx context.Context, relay reach.Relay, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	conn, err := p.daemon.peers.Tunnel(ctx, relay.Address, address)
+	conn, err := p.daemon.peers.DialTunnel(ctx, relay.Address, address)
 	switch {
 	case err == nil:
-		p.relays.Helped(relay.Name)
+		p.relays.Succeeded(relay.Name)
 		p.daemon.log.add("paths", "Connected through another daemon.", "address", address, "daemon", relay.Name)
 		return conn, nil
 	case peer.ErrTarget.Has(err):
 		return nil, err
 	default:
-		p.relays.Failed(p.daemon.clock.Now(), relay.Name, peer.ErrRelayCut.Has(err))
+		p.relays.Failed(p.daemon.clock.Now(), relay.Name, peer.ErrRelayNoRoute.Has(err))
 		return nil, reach.ErrNoRelay.Wrap(err)
 	}
 }
@@ -83,12 +83,12 @@
 		return nil, peer.ErrRelayDeclined.New("%s is no instance's address", address)
 	}
 	if p.book.Status(p.daemon.clock.Now()).Cut {
-		return nil, peer.ErrRelayCut.New("%s", p.daemon.current().Name)
+		return nil, peer.ErrRelayNoRoute.New("%s", p.daemon.current().Name)
 	}
 	conn, err := p.dialer.Direct(ctx, address)
 	if err != nil && p.book.Status(p.daemon.clock.Now()).Doubtful {
 		// It may be this daemon's fault, and says nothing about the address.
-		return nil, peer.ErrRelayCut.Wrap(err)
+		return nil, peer.ErrRelayNoRoute.Wrap(err)
 	}
 	return conn, err
 }
@@ -150,14 +150,14 @@
 	metrics.addressesFailed.Update(float64(status.Failed))
 	metrics.connectionsDirect.Update(float64(direct))
 	metrics.connectionsRelayed.Update(float64(relayed))
-	metrics.tunnelsCarried.Update(float64(p.daemon.peers.Tunnels()))
+	metrics.tunnelsCarried.Update(float64(p.daemon.peers.TunnelCount()))
 }
 
 // changed takes in that the paths to all servers are cut, or back.
 func (p *paths) changed(now time.Time, status reach.Status) {
 	_, relayed := p.dialer.Counts()
 	if status.Cut {
-		p.daemon.log.add("paths", "Cut off from all servers.", "failed", status.InARow, "after_ms", now.Sub(status.Since).Milliseconds(), "relayed", relayed)
+		p.daemon.log.add("paths", "Cut off from all servers.", "failed", status.FailedInARow, "after_ms", now.Sub(status.Since).Milliseconds(), "relayed", relayed)
 		return
 	}
 	p.daemon.log.add("paths", "Servers are reached again.", "cut_ms", now.Sub(p.told.Since).Milliseconds(), "relayed", relayed)
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -48,7 +48,7 @@
 	turns *limiter.Limiter
 
 	mutex sync.Mutex
-	book  *quarantine.Book
+	book  *quarantine.Tracker
 	// news is what the others have to be told, as it was at newsAt.
 	news   quarantine.Update
 	newsAt time.Time
@@ -63,7 +63,7 @@
 func newQuarantineKeeper(d *Daemon) *quarantineKeeper {
 	k := &quarantineKeeper{
 		daemon: d, hasher: quarantine.NewHasher(d.current().DeploymentKey), watch: newCrashWatch(),
-		book: quarantine.NewBook(), sound: newSoundParts(), kept: ring.New[keptChange](keptRing),
+		book: quarantine.NewTracker(), sound: newSoundParts(), kept: ring.New[keptChange](keptRing),
 	}
 	k.watch.now = d.clock.Now
 	k.watch.probe = d.upstream.Probe
@@ -96,14 +96,14 @@
 	}
 	s.keeper.mutex.Lock()
 	defer s.keeper.mutex.Unlock()
-	return quota.Limit{PerSecond: suspectRate}, s.keeper.book.Suspects(s.keeper.daemon.clock.Now(), content)
+	return quota.Limit{PerSecond: suspectRate}, s.keeper.book.IsSuspected(s.keeper.daemon.clock.Now(), content)
 }
 
 // Limited implements limiter.Subjects.
 func (suspectedContents) Limited() []string { return nil }
 
-// SuspectTurn implements gateway.Quarantine. A request with several suspects needs a turn of each.
-func (k *quarantineKeeper) SuspectTurn(ctx context.Context, request *quarantine.Attributes) gateway.Turn {
+// AcquireSuspectTurn implements gateway.Quarantine. A request with several suspects needs a turn of each.
+func (k *quarantineKeeper) AcquireSuspectTurn(ctx context.Context, request *quarantine.Attributes) gateway.Turn {
 	now := k.daemon.clock.Now()
 	k.mutex.Lock()
 	suspects, pendingUntil := k.book.SuspectsOf(now, request), k.book.RequestPendingUntil(now, request)
@@ -130,8 +130,8 @@
 	return turnOf(outcome, limit)
 }
 
-// Suspects implements gateway.Quarantine.
-func (k *quarantineKeeper) Suspects() bool { return k.suspects.Load() }
+// HasSuspects implements gateway.Quarantine.
+func (k *quarantineKeeper) HasSuspects() bool { return k.suspects.Load() }
 
 // Digest implements gateway.Quarantine.
 func (k *quarantineKeeper) Digest(content *quarantine.Content) quarantine.Digest {
@@ -148,34 +148,34 @@
 	return k.book.RequestHeldUntil(k.daemon.clock.Now(), request)
 }
 
-// Broke implements gateway.Quarantine.
-func (k *quarantineKeeper) Broke(instance *fleet.Instance, victim quarantine.Victim) {
+// RecordBroken implements gateway.Quarantine.
+func (k *quarantineKeeper) RecordBroken(instance *fleet.Instance, victim quarantine.InterruptedRequest) {
 	victim.Parts = k.sound.unproven(k.daemon.clock.Now(), victim.Parts)
 	k.watch.broke(k.daemon.clock.Now(), instance, victim)
 }
 
-// Settled implements gateway.Quarantine.
-func (k *quarantineKeeper) Settled(ctx context.Context, instance *fleet.Instance) {
+// AwaitCrashCheck implements gateway.Quarantine.
+func (k *quarantineKeeper) AwaitCrashCheck(ctx context.Context, instance *fleet.Instance) {
 	k.watch.settled(ctx, instance.ID, settleMost)
 }
 
-// Served implements gateway.Quarantine.
-func (k *quarantineKeeper) Served(request *quarantine.Attributes) {
+// RecordSuccess implements gateway.Quarantine.
+func (k *quarantineKeeper) RecordSuccess(request *quarantine.Attributes) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	now := k.daemon.clock.Now()
 	for _, suspect := range k.book.SuspectsOf(now, request) {
-		k.take(k.book.Served(now, suspect), true)
+		k.take(k.book.RecordSuccess(now, suspect), true)
 	}
 }
 
-// Sound implements gateway.Quarantine.
-func (k *quarantineKeeper) Sound(prompt []gateway.PromptPart) {
+// RecordHarmlessPrompt implements gateway.Quarantine.
+func (k *quarantineKeeper) RecordHarmlessPrompt(prompt []gateway.PromptPart) {
 	k.sound.add(k.daemon.clock.Now(), prompt)
 }
 
-// Answered implements gateway.Quarantine.
-func (k *quarantineKeeper) Answered(instance string, began time.Time) {
+// RecordAnswer implements gateway.Quarantine.
+func (k *quarantineKeeper) RecordAnswer(instance string, began time.Time) {
 	k.watch.served(instance, began)
 }
 
@@ -189,24 +189,24 @@
 			k.watch.log("Not released.", "content", text, "error", err)
 			continue
 		}
-		if now := k.daemon.clock.Now(); k.book.Suspects(now, content) {
-			k.take(k.book.Served(now, content), true)
+		if now := k.daemon.clock.Now(); k.book.IsSuspected(now, content) {
+			k.take(k.book.RecordSuccess(now, content), true)
 		}
 	}
 }
 
 // unconfirmedCrash records the contents that this daemon had at an instance that closes new connections.
-func (k *quarantineKeeper) unconfirmedCrash(at time.Time, instance string, victims []quarantine.Victim) {
+func (k *quarantineKeeper) unconfirmedCrash(at time.Time, instance string, victims []quarantine.InterruptedRequest) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.take(k.book.UnconfirmedCrash(k.daemon.clock.Now(), at, instance, victims), true)
+	k.take(k.book.RecordUnconfirmedCrash(k.daemon.clock.Now(), at, instance, victims), true)
 }
 
 // crashed takes in the contents that this daemon had at an instance that has crashed.
-func (k *quarantineKeeper) crashed(at time.Time, instance string, victims []quarantine.Victim) {
+func (k *quarantineKeeper) crashed(at time.Time, instance string, victims []quarantine.InterruptedRequest) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.take(k.book.Crashed(k.daemon.clock.Now(), at, instance, victims), true)
+	k.take(k.book.RecordCrash(k.daemon.clock.Now(), at, instance, victims), true)
 }
 
 // learn takes in what another daemon told.
@@ -214,7 +214,7 @@
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	now := k.daemon.clock.Now()
-	k.take(k.book.Learn(now, update), false)
+	k.take(k.book.Merge(now, update), false)
 	k.clearSound(now, &update)
 }
 
@@ -222,11 +222,11 @@
 func (k *quarantineKeeper) clearSound(now time.Time, update *quarantine.Update) {
 	for i := range update.Items {
 		item := &update.Items[i]
-		if item.Kind != quarantine.KindPart || !k.book.Suspects(now, item.Digest) {
+		if item.Kind != quarantine.KindPart || !k.book.IsSuspected(now, item.Digest) {
 			continue
 		}
 		if k.sound.proves(now, k.hasher, item.Digest) {
-			k.take(k.book.Served(now, item.Digest), false)
+			k.take(k.book.RecordSuccess(now, item.Digest), false)
 		}
 	}
 }
@@ -234,7 +234,7 @@
 // take acts on a change of the book. What this daemon found out itself is told to the others.
 func (k *quarantineKeeper) take(change quarantine.Change, own bool) {
 	k.suspects.Store(!k.book.Empty())
-	k.avoid(&change.News)
+	k.avoid(&change.Added)
 	for _, content := range change.Held {
 		k.verdict("Held.", content)
 	}
@@ -247,7 +247,7 @@
 	for _, content := range change.NoLongerDurable {
 		k.queueKeptChange(content, true)
 	}
-	if !own || change.News.Empty() {
+	if !own || change.Added.Empty() {
 		return
 	}
 	now := k.daemon.clock.Now()
@@ -256,8 +256,8 @@
 		time.AfterFunc(crashNewsPause, k.tell)
 	}
 	// All ages count from newsAt, so that what crashed later is not told as if it had crashed before.
-	change.News.Wait(-now.Sub(k.newsAt))
-	k.news.Items = append(k.news.Items, change.News.Items...)
+	change.Added.AddAge(-now.Sub(k.newsAt))
+	k.news.Items = append(k.news.Items, change.Added.Items...)
 }
 
 // avoid keeps requests from the servers that crashed a moment ago.
@@ -267,7 +267,7 @@
 	for i := range news.Items {
 		for _, told := range news.Items[i].Crashes {
 			if !told.Void && !told.Unconfirmed && told.Age < crashGossipSpan {
-				k.daemon.tracker.Crashed(now, told.Server, told.Age)
+				k.daemon.tracker.RecordCrash(now, told.Server, told.Age)
 				k.daemon.instanceCrashed(k.daemon.clock.Now().Add(-told.Age), told.Server)
 			}
 		}
@@ -277,7 +277,7 @@
 // queueKeptChange queues a write of the evidence against a content to the store, or its removal if dropped is set. Only
 // daemons that witnessed one of the crashes write, which avoids redundant writes by all others.
 func (k *quarantineKeeper) queueKeptChange(content quarantine.Digest, dropped bool) {
-	if k.book.Witnessed(content) && !k.kept.Offer(keptChange{content: content, dropped: dropped}) {
+	if k.book.ObservedLocally(content) && !k.kept.TryPut(keptChange{content: content, dropped: dropped}) {
 		k.watch.log("Not kept.", "content", content.String(), "error", "too many at once")
 	}
 }
@@ -291,7 +291,7 @@
 	if !until.IsZero() {
 		fields = append(fields, "for_s", int(until.Sub(now).Seconds()))
 	}
-	if together := k.book.Together(content); len(together) > 0 {
+	if together := k.book.HeldWith(content); len(together) > 0 {
 		fields = append(fields, "together_with", digestsOf(together))
 	}
 	k.watch.log(text, fields...)
@@ -328,28 +328,28 @@
 	news, waited := k.news, k.daemon.clock.Since(k.newsAt)
 	k.news = quarantine.Update{}
 	k.mutex.Unlock()
-	news.Wait(waited)
-	k.daemon.work.events.Offer(func(node *coordination.Node, _ time.Time) []coordination.Action {
-		return node.TellCrashes(news)
+	news.AddAge(waited)
+	k.daemon.work.events.TryPut(func(node *coordination.Node, _ time.Time) []coordination.Action {
+		return node.BroadcastCrashes(news)
 	})
 }
 
 // newest returns what another daemon may lack, after forgetting what no longer counts.
 func (k *quarantineKeeper) newest(now time.Time) quarantine.Update {
-	if !k.Suspects() {
+	if !k.HasSuspects() {
 		return quarantine.Update{}
 	}
 	k.turns.SubjectsChanged(now)
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.book.Forget(now)
+	k.book.Prune(now)
 	k.suspects.Store(!k.book.Empty())
-	return k.book.Newest(now, crashGossipSpan)
+	return k.book.Snapshot(now, crashGossipSpan)
 }
 
 // heldCounts returns how many contents and how many parts of prompts are held.
 func (k *quarantineKeeper) heldCounts(now time.Time) (contents, parts int) {
-	if !k.Suspects() {
+	if !k.HasSuspects() {
 		return 0, 0
 	}
 	k.mutex.Lock()
--- a/entry/quarantinekept.go
+++ b/entry/quarantinekept.go
@@ -18,7 +18,7 @@
 	if d.following.watching.Load() {
 		if newest := k.readKept(feed.Newest); !newest.Empty() {
 			d.work.events.Put(d.ctx, func(node *coordination.Node, _ time.Time) []coordination.Action {
-				return node.TellCrashes(newest)
+				return node.BroadcastCrashes(newest)
 			})
 		}
 	}
@@ -57,8 +57,8 @@
 	for _, item := range page.Items {
 		switch {
 		case item.Gone:
-		case item.Value.Forgotten():
-			k.kept.Offer(keptChange{content: item.Value.Digest, dropped: true})
+		case item.Value.Expired():
+			k.kept.TryPut(keptChange{content: item.Value.Digest, dropped: true})
 		default:
 			update.Items = append(update.Items, item.Value)
 		}
@@ -81,7 +81,7 @@
 	contents := k.book.Durable()
 	k.mutex.Unlock()
 	for _, content := range contents {
-		if !k.kept.Offer(keptChange{content: content}) {
+		if !k.kept.TryPut(keptChange{content: content}) {
 			k.watch.log("Not kept.", "content", content.String(), "error", "too many at once")
 		}
 	}
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -36,14 +36,14 @@
 }
 
 // Take implements gateway.Quotas.
-func (q quotas) Take(ctx context.Context, use gateway.Use) gateway.Allowance {
+func (q quotas) Take(ctx context.Context, use gateway.QuotaCharge) gateway.Allowance {
 	outcome := q.Limiter.Take(ctx, requestOf(use))
 	return gateway.Allowance{Granted: outcome.Granted, Unsure: outcome.Unsure, RetryAfter: outcome.Wait}
 }
 
-// Return implements gateway.Quotas.
-func (q quotas) Return(use gateway.Use) { q.Limiter.Return(requestOf(use)) }
+// Refund implements gateway.Quotas.
+func (q quotas) Refund(use gateway.QuotaCharge) { q.Limiter.Refund(requestOf(use)) }
 
-func requestOf(use gateway.Use) limiter.Request {
+func requestOf(use gateway.QuotaCharge) limiter.Request {
 	return limiter.Request{Subject: use.Tenant.Name, Limit: use.Tenant.Limit.Rate(), Cost: use.Cost}
 }
--- a/entry/refused_test.go
+++ b/entry/refused_test.go
@@ -13,7 +13,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newDemandCounter()
 		for number := range 80 {
-			leave := w.Enter("llm", "m")
+			leave := w.RequestStarted("llm", "m")
 			time.Sleep(250 * time.Millisecond)
 			if number%2 == 0 {
 				w.Refused("llm", "m")
--- a/entry/slots.go
+++ b/entry/slots.go
@@ -13,7 +13,7 @@
 )
 
 // slots counts the requests of all daemons at instances that fall over if they turn requests away, where there are more
-// daemons than slots: one daemon, the owner, gives out the slots of each instance. Where none answers, brittle.Book
+// daemons than slots: one daemon, the owner, gives out the slots of each instance. Where none answers, brittle.Tracker
 // decides from what is known here.
 type slots struct {
 	*limiter.Limiter
@@ -28,7 +28,7 @@
 		return coordination.Message{InstanceSlot: message}
 	})
 	ports.Subjects = func() limiter.Subjects { return slotSubjects{n} }
-	ports.Strict, ports.Opening = true, n.freeSlots
+	ports.Strict, ports.InitialLevel = true, n.freeSlots
 	return &slots{Limiter: limiter.New(ports), askAt: map[string]time.Time{}}
 }
 
@@ -73,8 +73,8 @@
 	return float64(instance.Slots - 1 - n.daemon.tracker.Requests(id))
 }
 
-// TakeSlot implements gateway.Notices.
-func (n *notices) TakeSlot(ctx context.Context, instance *fleet.Instance, requests int) gateway.Slot {
+// AcquireSlot implements gateway.Notices.
+func (n *notices) AcquireSlot(ctx context.Context, instance *fleet.Instance, requests int) gateway.Slot {
 	if !n.anyBrittle.Load() {
 		return gateway.SlotTaken
 	}
@@ -94,13 +94,13 @@
 	return gateway.SlotDenied
 }
 
-// GiveBackSlot implements gateway.Notices. Requests that were sent before their service became brittle count too.
-func (n *notices) GiveBackSlot(instance *fleet.Instance) {
+// ReleaseSlot implements gateway.Notices. Requests that were sent before their service became brittle count too.
+func (n *notices) ReleaseSlot(instance *fleet.Instance) {
 	if !n.anyBrittle.Load() {
 		return
 	}
 	if limit, counted := n.slotLimit(instance); counted {
-		n.slots.Return(limiter.Request{Subject: instance.ID, Limit: limit, Cost: 1})
+		n.slots.Refund(limiter.Request{Subject: instance.ID, Limit: limit, Cost: 1})
 	}
 }
 
--- a/entry/state.go
+++ b/entry/state.go
@@ -17,14 +17,14 @@
 type workRings struct {
 	events  *ring.Ring[event]
 	leases  *ring.Ring[coordination.CallLease]
-	reports *ring.Ring[coordination.AskReport]
+	reports *ring.Ring[coordination.RequestReport]
 	orders  *ring.Ring[coordination.SendOrder]
 }
 
 func newWorkRings() workRings {
 	return workRings{
 		events: ring.New[event](eventRingSize), leases: ring.New[coordination.CallLease](callRingSize),
-		reports: ring.New[coordination.AskReport](callRingSize), orders: ring.New[coordination.SendOrder](callRingSize),
+		reports: ring.New[coordination.RequestReport](callRingSize), orders: ring.New[coordination.SendOrder](callRingSize),
 	}
 }
 
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -38,7 +38,7 @@
 	d.log.add("daemon", "Stop begins.", "requests", d.gateway.Active())
 	d.life.stopping.Store(true)
 	d.startDuty("leave", d.leave)
-	d.peers.Retire()
+	d.peers.DrainTunnels()
 	grace := d.current().Grace
 	kept := min(keptFactor*d.current().AddressKeep, grace/graceShare) - acceptMargin
 	// Without one of its duties a daemon may decide by what has long changed.
@@ -67,7 +67,9 @@
 func (d *Daemon) answered() bool { return d.gateway.Active() == 0 }
 
 // idle reports whether no request is being read, served or answered, and no connection carried for another daemon.
-func (d *Daemon) idle() bool { return d.front.Busy() == 0 && d.answered() && d.peers.Tunnels() == 0 }
+func (d *Daemon) idle() bool {
+	return d.front.Busy() == 0 && d.answered() && d.peers.TunnelCount() == 0
+}
 
 // waitUntil waits until a condition holds, a moment has come or ctx ends.
 func (d *Daemon) waitUntil(ctx context.Context, moment time.Time, holds func() bool) {
--- a/entry/stuck_test.go
+++ b/entry/stuck_test.go
@@ -62,7 +62,7 @@
 		return nil
 	})
 	<-stuck
-	for daemon.work.events.Offer(nothing) {
+	for daemon.work.events.TryPut(nothing) {
 	}
 	stopped := make(chan struct{})
 	go func() {
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -233,7 +233,7 @@
 	if story.Dropped > 0 {
 		warned = append(warned, fmt.Sprintf("daemons dropped %d lines; some may have been of this request", story.Dropped))
 	}
-	if !story.Steps[len(story.Steps)-1].Name.Final() {
+	if !story.Steps[len(story.Steps)-1].Name.IsFinal() {
 		warned = append(warned, "the last line is missing: the process may have ended")
 	}
 	return warned
@@ -241,35 +241,35 @@
 
 // reasons explain why a request ended as it did.
 var reasons = map[gateway.Reason]string{
-	gateway.ReasonStarting:        "the daemon did not know a configuration yet",
-	gateway.ReasonStopping:        "the daemon was stopping",
-	gateway.ReasonNoRoute:         "no route of the configuration begins its path",
-	gateway.ReasonNoInstance:      "no instance of the service could take it",
-	gateway.ReasonOverloaded:      "no instance with its model would have begun to answer in time",
-	gateway.ReasonNoModel:         "no instance had its model in time",
-	gateway.ReasonNoAdapter:       "no instance had its adapter in time",
-	gateway.ReasonUnknownOrigin:   "nobody knew which software version began the stream that it takes up",
-	gateway.ReasonNoSoftware:      "no instance was left of the software version that began its stream",
-	gateway.ReasonNoConnection:    "all connections to the instances that could take it were in use",
-	gateway.ReasonDeclined:        "the instance declined it, and no further attempt was allowed",
-	gateway.ReasonUnreached:       "no instance could be reached",
-	gateway.ReasonBroken:          "the instance failed after it may have run, and it may not run again",
-	gateway.ReasonTimeout:         "its time was over before the instance answered",
-	gateway.ReasonNeverSent:       "its time was over before it could be sent",
-	gateway.ReasonClientGone:      "the client left",
-	gateway.ReasonAnswered:        "the instance answered",
-	gateway.ReasonBodyTooLarge:    "its body is larger than the configuration allows",
-	gateway.ReasonBodyFramedTwice: "its head gives its body both a length and chunks",
-	gateway.ReasonQuarantined:     "servers crashed under requests like it",
-	gateway.ReasonSuspected:       "a server crashed under requests like it, and its turn was too far off",
-	gateway.ReasonStreamBroke:     "the stream broke off, and it may not be resumed",
+	gateway.ReasonStarting:           "the daemon did not know a configuration yet",
+	gateway.ReasonStopping:           "the daemon was stopping",
+	gateway.ReasonNoRoute:            "no route of the configuration begins its path",
+	gateway.ReasonNoInstance:         "no instance of the service could take it",
+	gateway.ReasonOverloaded:         "no instance with its model would have begun to answer in time",
+	gateway.ReasonNoModel:            "no instance had its model in time",
+	gateway.ReasonNoAdapter:          "no instance had its adapter in time",
+	gateway.ReasonUnknownOrigin:      "nobody knew which software version began the stream that it takes up",
+	gateway.ReasonNoSoftware:         "no instance was left of the software version that began its stream",
+	gateway.ReasonNoConnection:       "all connections to the instances that could take it were in use",
+	gateway.ReasonDeclined:           "the instance declined it, and no further attempt was allowed",
+	gateway.ReasonUnreachable:        "no instance could be reached",
+	gateway.ReasonBroken:             "the instance failed after it may have run, and it may not run again",
+	gateway.ReasonTimeout:            "its time was over before the instance answered",
+	gateway.ReasonNeverSent:          "its time was over before it could be sent",
+	gateway.ReasonClientDisconnected: "the client left",
+	gateway.ReasonAnswered:           "the instance answered",
+	gateway.ReasonBodyTooLarge:       "its body is larger than the configuration allows",
+	gateway.ReasonBodyFramedTwice:    "its head gives its body both a length and chunks",
+	gateway.ReasonQuarantined:        "servers crashed under requests like it",
+	gateway.ReasonSuspected:          "a server crashed under requests like it, and its turn was too far off",
+	gateway.ReasonStreamBroke:        "the stream broke off, and it may not be resumed",
 }
 
 // cause tells in one sentence why the request ended as it did.
 func cause(story *Story) string {
 	var last *Step
 	for i := range story.Steps {
-		if story.Steps[i].Name.Final() {
+		if story.Steps[i].Name.IsFinal() {
 			last = &story.Steps[i]
 		}
 	}
--- a/explain/losses.go
+++ b/explain/losses.go
@@ -133,7 +133,7 @@
 			r.torn++
 		}
 	}
-	if step.Name.Final() {
+	if step.Name.IsFinal() {
 		known.ended, known.cause = true, lossCause(step)
 	}
 }
--- a/feed/era_test.go
+++ b/feed/era_test.go
@@ -51,10 +51,10 @@
 	if got := values(mirror); !slices.Equal(got, []string{"a=leaving", "b=ready"}) {
 		t.Fatalf("list or changes of the previous era are applied: %v", got)
 	}
-	if !mirror.HasEarlier() {
+	if !mirror.HasEarlierEra() {
 		t.Error("the item that is known only from the previous era is not reported by HasEarlier")
 	}
-	if gone := mirror.DropEarlier(); len(gone) != 1 || gone[0].Name != "b" || !gone[0].Gone || mirror.HasEarlier() {
+	if gone := mirror.RemoveEarlierEra(); len(gone) != 1 || gone[0].Name != "b" || !gone[0].Gone || mirror.HasEarlierEra() {
 		t.Errorf("dropped %v", gone)
 	}
 	if _, kept := mirror.Since(history.At(2, 79)); kept {
@@ -73,7 +73,7 @@
 	mirror.Replace(batchOf(1, 95, itemOf(1, 93, "b", "ready")))
 	mirror.Replace(batchOf(2, 80))
 	mirror.Apply(batchOf(2, 81, itemOf(2, 81, "b", "ready")))
-	if gone := mirror.DropEarlier(); len(gone) != 0 || len(mirror.Items()) != 1 {
+	if gone := mirror.RemoveEarlierEra(); len(gone) != 0 || len(mirror.Items()) != 1 {
 		t.Errorf("dropped %v", gone)
 	}
 }
@@ -189,7 +189,7 @@
 			case 5:
 				mirror.Replace(store.list())
 			case 6:
-				if len(changes) > 0 && mirror.Known() {
+				if len(changes) > 0 && mirror.Synced() {
 					mirror.Apply(rapid.SampledFrom(changes).Draw(t, "late changes"))
 				}
 			case 7:
@@ -197,7 +197,7 @@
 					mirror.Replace(rapid.SampledFrom(lists).Draw(t, "late list"))
 				}
 			case 8:
-				mirror.DropEarlier()
+				mirror.RemoveEarlierEra()
 			}
 			if mirror.At().Before(before) {
 				t.Fatalf("went back from %v to %v", before, mirror.At())
@@ -206,7 +206,7 @@
 		for number, mirror := range mirrors {
 			store.write("last", "ready")
 			mirror.Replace(store.list())
-			mirror.DropEarlier()
+			mirror.RemoveEarlierEra()
 			want := feed.NewMirror[string]()
 			want.Replace(store.list())
 			if got := values(mirror); !slices.Equal(got, values(want)) || mirror.Newest().After(store.at) {
--- a/feed/exchange_test.go
+++ b/feed/exchange_test.go
@@ -46,7 +46,7 @@
 				batch.Items = append(batch.Items, item)
 			}
 		}
-		batch.Until = s.at()
+		batch.ListedUntil = s.at()
 		between()
 	}
 	return batch
@@ -68,7 +68,7 @@
 func (e *exchangingMirror) updateSince(place history.Place) update {
 	changes, kept := e.Since(place)
 	if !kept {
-		changes.Batch = feed.Batch[string]{At: e.At(), Until: e.Until(), Items: e.Items()}
+		changes.Batch = feed.Batch[string]{At: e.At(), ListedUntil: e.ListedUntil(), Items: e.Items()}
 	}
 	return update{changes, kept}
 }
@@ -134,14 +134,14 @@
 				mirror.Replace(batch)
 				mirror.watchedAt = batch.At
 			case 4:
-				if mirror.Known() && !mirror.watchedAt.IsZero() {
+				if mirror.Synced() && !mirror.watchedAt.IsZero() {
 					from := mirror.watchedAt.Revision
 					last := rapid.Uint64Range(from, store.at().Revision).Draw(t, "answered up to")
 					mirror.watchedAt = history.At(0, last)
 					mirror.Apply(feed.Batch[string]{At: mirror.watchedAt, Items: slices.Clone(store.changes[from:last])})
 				}
 			case 5, 6:
-				if other.Known() && other.Newest().After(mirror.At()) {
+				if other.Synced() && other.Newest().After(mirror.At()) {
 					inFlight[step], receivers[step] = other.updateSince(mirror.At()), mirror
 				}
 			case 7:
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -21,8 +21,8 @@
 	ErrHistoryGone = errs.Class("feed: history gone")
 	// ErrUnavailable means that the store did not respond, or rejected the call.
 	ErrUnavailable = errs.Class("feed: unavailable")
-	// ErrOverdue means that the response of the store did not begin in time.
-	ErrOverdue = errs.Class("feed: overdue")
+	// ErrTimeout means that the response of the store did not begin in time.
+	ErrTimeout = errs.Class("feed: overdue")
 )
 
 // Item is one object of a collection.
@@ -40,8 +40,8 @@
 	Items []Item[T]
 	// At is the place in the store's history up to which the response is complete.
 	At history.Place
-	// Until is the place at which the last page of a list was read, if that is later than At.
-	Until history.Place
+	// ListedUntil is the place at which the last page of a list was read, if that is later than At.
+	ListedUntil history.Place
 }
 
 // Freshness is how recent a list must be.
@@ -91,8 +91,8 @@
 type Changes[T any] struct {
 	Batch[T]
 	After history.Place
-	// PassedOver means that items which were created and removed in between may be missing.
-	PassedOver bool
+	// HasGaps means that items which were created and removed in between may be missing.
+	HasGaps bool
 }
 
 // change is one change with its version: the place of the item, or for a removal the place at which the removal
@@ -112,14 +112,14 @@
 // At returns the place up to which the mirror is complete.
 func (m *Mirror[T]) At() history.Place { return m.at }
 
-// Until returns the place up to which the last list may lack removals that happened while it was read.
-func (m *Mirror[T]) Until() history.Place { return m.listedUntil }
+// ListedUntil returns the place up to which the last list may lack removals that happened while it was read.
+func (m *Mirror[T]) ListedUntil() history.Place { return m.listedUntil }
 
 // Newest returns the version of the newest change that was applied. Unlike At it moves only with a change.
 func (m *Mirror[T]) Newest() history.Place { return m.newest }
 
-// Known reports whether a list was applied.
-func (m *Mirror[T]) Known() bool { return m.synced }
+// Synced reports whether a list was applied.
+func (m *Mirror[T]) Synced() bool { return m.synced }
 
 // Get returns the value of an item that exists.
 func (m *Mirror[T]) Get(name string) (T, bool) {
@@ -140,7 +140,7 @@
 // rejected: a replica of the store may lag.
 //
 // The first list of an era may lack items that the store has lost and that their writers write again. The mirror
-// keeps them until DropEarlier.
+// keeps them until RemoveEarlierEra.
 func (m *Mirror[T]) Replace(batch Batch[T]) []Item[T] {
 	if m.synced && batch.At.Before(m.at) {
 		return nil
@@ -168,7 +168,7 @@
 		m.history, m.floor, m.gaps = nil, batch.At, nil
 	}
 	m.at = batch.At
-	m.listedUntil = history.Newer(batch.Until, batch.At)
+	m.listedUntil = history.Newer(batch.ListedUntil, batch.At)
 	m.synced = true
 	return changed
 }
@@ -191,8 +191,8 @@
 	return gone
 }
 
-// HasEarlier reports whether there are items that are known only from an earlier era.
-func (m *Mirror[T]) HasEarlier() bool {
+// HasEarlierEra reports whether there are items that are known only from an earlier era.
+func (m *Mirror[T]) HasEarlierEra() bool {
 	for _, item := range m.items {
 		if item.Place.Era < m.at.Era {
 			return true
@@ -201,8 +201,8 @@
 	return false
 }
 
-// DropEarlier removes the items that are known only from an earlier era, and returns them.
-func (m *Mirror[T]) DropEarlier() []Item[T] {
+// RemoveEarlierEra removes the items that are known only from an earlier era, and returns them.
+func (m *Mirror[T]) RemoveEarlierEra() []Item[T] {
 	var changed []Item[T]
 	for name, item := range m.items {
 		if item.Place.Era < m.at.Era {
@@ -246,7 +246,7 @@
 		return Changes[T]{}, false
 	}
 	passedOver := slices.ContainsFunc(m.gaps, func(skipped gap) bool { return skipped.before.After(place) })
-	changes := Changes[T]{After: place, Batch: Batch[T]{At: m.at}, PassedOver: passedOver}
+	changes := Changes[T]{After: place, Batch: Batch[T]{At: m.at}, HasGaps: passedOver}
 	for _, change := range m.history {
 		if change.version.After(place) {
 			changes.Items = append(changes.Items, change.item)
@@ -262,7 +262,7 @@
 	if !m.synced || changes.At.Era != m.at.Era || changes.After.After(m.at) || !changes.At.After(m.at) {
 		return nil
 	}
-	if changes.PassedOver {
+	if changes.HasGaps {
 		m.recordGap(gap{after: m.at, before: changes.At})
 	}
 	exists := make(map[string]bool, len(changes.Items))
--- a/feed/listing.go
+++ b/feed/listing.go
@@ -50,7 +50,7 @@
 			return Batch[T]{}, ErrHistoryGone.New("store restored from a backup between two pages of the list")
 		}
 		l.batch.Items = append(l.batch.Items, page.Items...)
-		l.batch.Until = history.Newer(l.batch.Until, page.At)
+		l.batch.ListedUntil = history.Newer(l.batch.ListedUntil, page.At)
 		l.next = page.Next
 		if l.next == "" {
 			complete := l.batch
--- a/fleet/configuration.go
+++ b/fleet/configuration.go
@@ -75,9 +75,9 @@
 	firstEventGapFactor    = 8
 )
 
-// FirstEventPatience returns how long clients of the route wait for the first event of a stream, according to the
+// FirstEventTimeout returns how long clients of the route wait for the first event of a stream, according to the
 // platform's documentation. Clients of other kinds of routes wait until the route's timeout.
-func (r *Route) FirstEventPatience() time.Duration {
+func (r *Route) FirstEventTimeout() time.Duration {
 	if r.Kind != KindStream {
 		return r.Timeout
 	}
@@ -164,16 +164,16 @@
 	Tenants      []tenant.Tenant
 }
 
-// FirstEventPatience returns the minimum time that clients of the service's stream routes wait for the first event.
+// FirstEventTimeout returns the minimum time that clients of the service's stream routes wait for the first event.
 // It is zero if no stream route has the service as a target.
-func (c *Configuration) FirstEventPatience(service string) time.Duration {
+func (c *Configuration) FirstEventTimeout(service string) time.Duration {
 	shortest, found := time.Duration(0), false
 	for i := range c.Routes {
 		route := &c.Routes[i]
 		if route.Kind != KindStream || !route.SendsTo(service) {
 			continue
 		}
-		firstEventTimeout := min(route.FirstEventPatience(), route.Timeout)
+		firstEventTimeout := min(route.FirstEventTimeout(), route.Timeout)
 		if !found || firstEventTimeout < shortest {
 			shortest, found = firstEventTimeout, true
 		}
--- a/fleet/configuration_test.go
+++ b/fleet/configuration_test.go
@@ -29,7 +29,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			configuration := &Configuration{Routes: c.routes}
-			if got := configuration.FirstEventPatience("a"); got != c.want {
+			if got := configuration.FirstEventTimeout("a"); got != c.want {
 				t.Errorf("first-event timeout %v, want %v", got, c.want)
 			}
 		})
--- a/fleet/notice.go
+++ b/fleet/notice.go
@@ -10,9 +10,9 @@
 	Limit LimitNotice
 	// Brittle is the rate at which the instance can reject requests for lack of capacity without failing.
 	Brittle BrittleNotice
-	// Rest is the backoff during which this daemon must send no requests to the instance; zero if none was
+	// Backoff is the backoff during which this daemon must send no requests to the instance; zero if none was
 	// requested.
-	Rest time.Duration
+	Backoff time.Duration
 	// Unreadable lists header fields whose values could not be parsed. They are otherwise ignored.
 	Unreadable []string
 }
@@ -37,8 +37,8 @@
 	Unreadable bool
 }
 
-// Heard is a notice together with the instance and the time of the request.
-type Heard struct {
+// ObservedNotice is a notice together with the instance and the time of the request.
+type ObservedNotice struct {
 	Instance string
 	// SentAt is the time at which the request was sent. Notices received before it are older than this one.
 	SentAt time.Time
--- a/fleet/report.go
+++ b/fleet/report.go
@@ -1,7 +1,7 @@
 package fleet
 
-// AdapterOf identifies an adapter of a model.
-type AdapterOf struct {
+// AdapterRef identifies an adapter of a model.
+type AdapterRef struct {
 	Model   string
 	Adapter string
 }
@@ -11,7 +11,7 @@
 type Report struct {
 	Residents []Resident
 	// Coming lists the adapters that are being loaded.
-	Coming []AdapterOf
+	Coming []AdapterRef
 	// AtHand lists the models cached in the server's main memory or on its disk.
 	AtHand []string
 	// Busy means that the server is executing a load or unload order.
--- a/gateway/allowance.go
+++ b/gateway/allowance.go
@@ -8,8 +8,8 @@
 	"github.com/wheatweir/wheatweir/tenant"
 )
 
-// Use is the amount of its tenant's limit that one run of a request consumes.
-type Use struct {
+// QuotaCharge is the amount of its tenant's limit that one run of a request consumes.
+type QuotaCharge struct {
 	Tenant *tenant.Tenant
 	Cost   float64
 }
@@ -25,23 +25,23 @@
 
 // Quotas enforces the limits of tenants. It must be safe for concurrent use.
 type Quotas interface {
-	Take(ctx context.Context, use Use) Allowance
-	// Return refunds an amount that was taken a moment ago and is not used.
-	Return(use Use)
+	Take(ctx context.Context, use QuotaCharge) Allowance
+	// Refund refunds an amount that was taken a moment ago and is not used.
+	Refund(use QuotaCharge)
 }
 
-// allow charges the next run of the request to its tenant's limit, unless the request holds a valid allowance
+// acquireAllowance charges the next run of the request to its tenant's limit, unless the request holds a valid allowance
 // already. It returns the reason why the request may not run, or an empty one.
-func (e *exchange) allow(ctx context.Context) Reason {
+func (e *exchange) acquireAllowance(ctx context.Context) Reason {
 	quotas := e.gateway.settings.Quotas
 	if quotas == nil || e.tenant == nil || !e.tenant.Limit.Limited() {
 		return ""
 	}
-	if !e.allowedAt.IsZero() && e.since(e.allowedAt) < quota.AllowanceSpan {
+	if !e.allowedAt.IsZero() && e.since(e.allowedAt) < quota.GrantTTL {
 		return ""
 	}
 	e.allowedAt = time.Time{}
-	e.use = Use{Tenant: e.tenant, Cost: e.tenant.Limit.Cost(e.request.PromptTokens, e.request.OutputTokens, e.request.TokensTold)}
+	e.use = QuotaCharge{Tenant: e.tenant, Cost: e.tenant.Limit.Cost(e.request.PromptTokens, e.request.OutputTokens, e.request.TokensDeclared)}
 	allowance := quotas.Take(ctx, e.use)
 	switch {
 	case allowance.Granted:
@@ -50,26 +50,26 @@
 	case allowance.Unsure:
 		return ReasonQuotaUnsure
 	default:
-		e.quotaWait = allowance.RetryAfter
+		e.quotaRetryAfter = allowance.RetryAfter
 		return ReasonQuota
 	}
 }
 
-// returnAllowance refunds an allowance that no run has used. An allowance older than
-// quota.AllowanceSpan has expired and is not refunded: a request that used the amount now would exceed the limit, since
+// refundAllowance refunds an allowance that no run has used. An allowance older than
+// quota.GrantTTL has expired and is not refunded: a request that used the amount now would exceed the limit, since
 // other requests have been allowed in the meantime.
-func (e *exchange) returnAllowance() {
-	if e.allowedAt.IsZero() || e.since(e.allowedAt) >= quota.AllowanceSpan {
+func (e *exchange) refundAllowance() {
+	if e.allowedAt.IsZero() || e.since(e.allowedAt) >= quota.GrantTTL {
 		return
 	}
 	e.allowedAt = time.Time{}
-	e.gateway.settings.Quotas.Return(e.use)
+	e.gateway.settings.Quotas.Refund(e.use)
 }
 
-// returnBeforeLoss refunds an allowance that would expire during a pause. The request takes a new one when it
+// refundIfExpiring refunds an allowance that would expire during a pause. The request takes a new one when it
 // is sent, so that its tenant is charged only once.
-func (e *exchange) returnBeforeLoss(pause time.Duration) {
-	if !e.allowedAt.IsZero() && e.since(e.allowedAt)+pause >= quota.AllowanceSpan {
-		e.returnAllowance()
+func (e *exchange) refundIfExpiring(pause time.Duration) {
+	if !e.allowedAt.IsZero() && e.since(e.allowedAt)+pause >= quota.GrantTTL {
+		e.refundAllowance()
 	}
 }
--- a/gateway/assess.go
+++ b/gateway/assess.go
@@ -15,16 +15,16 @@
 )
 
 // assess decides from the load of the best instance whether the request may be sent there.
-func (e *exchange) assess(candidate *balance.Candidate) found {
+func (e *exchange) assess(candidate *balance.Candidate) searchResult {
 	switch {
 	case e.startsTooLate(candidate):
-		return foundHopeless
-	case e.background.applies:
+		return searchStartsTooLate
+	case e.backgroundState.yields:
 		return e.yield(candidate)
 	case candidate.Crowded || e.shouldHold(candidate):
-		return foundCrowded
+		return searchCrowded
 	default:
-		return foundReady
+		return searchReady
 	}
 }
 
@@ -39,8 +39,8 @@
 
 // hasWaitedEnough reports whether the request no longer waits for crowded instances.
 func (e *exchange) hasWaitedEnough() bool {
-	if e.background.applies {
-		return e.background.over
+	if e.backgroundState.yields {
+		return e.backgroundState.slackOver
 	}
 	return e.waitedShare() > maxCrowdedWaitShare
 }
@@ -59,13 +59,13 @@
 	if e.request.Model == "" || e.route.TargetLatency <= 0 || e.continues() || !mechanism.Enabled(mechanism.Forecast) {
 		return false
 	}
-	e.forecast = e.gateway.tracker.FirstToken(candidate, e.request.PromptTokens)
+	e.forecast = e.gateway.tracker.PredictFirstToken(candidate, e.request.PromptTokens)
 	return beginsTooLate(e.route.TargetLatency, e.since(e.request.Arrived), e.forecast)
 }
 
 // continues reports whether the request was sent before, or resumes an answer that has begun.
 func (e *exchange) continues() bool {
-	return e.begun || len(e.sentTo) > 0 || e.resumeAfter != ""
+	return e.answerStarted || len(e.attemptedInstances) > 0 || e.resumeAfter != ""
 }
 
 // shouldHold reports whether a less urgent request should wait at this daemon because the batch of its instance is
--- a/gateway/backgroundheld_test.go
+++ b/gateway/backgroundheld_test.go
@@ -20,13 +20,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		const held, roomAt = 4, 1010 * time.Millisecond
 		tracker := busyTracker(4)
-		g := mixedGateway(newBatchServer(held, time.Second), tracker, silent{})
+		g := mixedGateway(newBatchServer(held, time.Second), tracker, discardObserver{})
 		time.AfterFunc(roomAt, func() { tracker.SetPeer(time.Now(), "peer", nil) })
 		begun := time.Now()
 		var all sync.WaitGroup
 		for range held {
 			all.Go(func() {
-				got := &client{}
+				got := &recordingReply{}
 				g.Serve(context.Background(), mixedRequest("resume", "r"), got)
 				if took := got.at.Sub(begun); got.status != 200 || took < roomAt || took > roomAt+maxPollInterval {
 					t.Errorf("status %d after %v, room was available after %v", got.status, took, roomAt)
@@ -54,9 +54,9 @@
 func TestDispatcherIsToldWhoYields(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := busyTracker(4)
-		g, chooser := mixedGateway(&script{}, tracker, silent{}), &recordingChooser{picker: balance.NewPicker(tracker)}
+		g, chooser := mixedGateway(&scriptedUpstream{}, tracker, discardObserver{}), &recordingChooser{picker: balance.NewPicker(tracker)}
 		g.SetChooser(chooser)
-		g.Serve(context.Background(), mixedRequest("resume", "r"), &client{})
+		g.Serve(context.Background(), mixedRequest("resume", "r"), &recordingReply{})
 		last := len(chooser.yields) - 1
 		for number, yields := range chooser.yields {
 			if yields != (number < last) {
@@ -67,7 +67,7 @@
 			t.Errorf("%d checks in 2.75 s", last+1)
 		}
 		chooser.yields = nil
-		g.Serve(context.Background(), mixedRequest("stream", "r"), &client{})
+		g.Serve(context.Background(), mixedRequest("stream", "r"), &recordingReply{})
 		if len(chooser.yields) != 1 || chooser.yields[0] {
 			t.Errorf("an urgent request: %v", chooser.yields)
 		}
@@ -78,14 +78,14 @@
 // wait and for the allowance of the run.
 func TestHeldRequestIsChargedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		quotas := &ledger{answer: gateway.Allowance{Granted: true}}
-		settings := gateway.Settings{WaitShare: 0.5, ShareOfConnections: func() float64 { return 1 }, Quotas: quotas}
-		upstream := &script{answers: []answer{{status: 200, body: "id: 1\n\n"}}}
-		g := gateway.New(settings, upstream, busyTracker(4), retry.NewBudget(0.2, 10), silentDemand{}, silent{})
+		quotas := &recordingQuotas{answer: gateway.Allowance{Granted: true}}
+		settings := gateway.Settings{MaxWaitShare: 0.5, ConnectionShare: func() float64 { return 1 }, Quotas: quotas}
+		upstream := &scriptedUpstream{answers: []answer{{status: 200, body: "id: 1\n\n"}}}
+		g := gateway.New(settings, upstream, busyTracker(4), retry.NewBudget(0.2, 10), discardDemand{}, discardObserver{})
 		made := mixedConfiguration()
 		made.Tenants = keyedConfiguration(1, goodKey).Tenants
 		g.SetView(fleet.NewView(made, mixedView(4).Instances("svc")))
-		sent, got := mixedRequest("resume", "r"), &client{}
+		sent, got := mixedRequest("resume", "r"), &recordingReply{}
 		sent.Key = tenant.DigestOf(goodKey)
 		g.Serve(context.Background(), sent, got)
 		if len(quotas.taken)-len(quotas.returned) != 1 || got.status != 200 {
--- a/gateway/backgroundqueue.go
+++ b/gateway/backgroundqueue.go
@@ -20,7 +20,7 @@
 	// wake signals that the request has become the first one for its instance.
 	wake chan struct{}
 	// instance is the best instance at the last check. enqueued is set while the entry is in the queue. Both are
-	// guarded by the mutex of holdLines.
+	// guarded by the mutex of yieldQueues.
 	instance string
 	enqueued bool
 }
@@ -36,19 +36,19 @@
 	}
 }
 
-// holdLines are the queues of the background requests that wait at this daemon, ordered by the end of their slack. The
+// yieldQueues are the queues of the background requests that wait at this daemon, ordered by the end of their slack. The
 // first request for each instance polls for room; the others are woken when they become first. It is safe for
 // concurrent use.
-type holdLines struct {
+type yieldQueues struct {
 	mutex  sync.Mutex
 	queues map[queueKey][]*queuedRequest
 }
 
-func newHoldLines() *holdLines { return &holdLines{queues: map[queueKey][]*queuedRequest{}} }
+func newYieldQueues() *yieldQueues { return &yieldQueues{queues: map[queueKey][]*queuedRequest{}} }
 
 // enqueue adds a request, or updates its best instance if it is queued already. It reports whether the request is the
 // first one for its instance.
-func (l *holdLines) enqueue(queued *queuedRequest, instance string) bool {
+func (l *yieldQueues) enqueue(queued *queuedRequest, instance string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	previous, wasEnqueued := queued.instance, queued.enqueued
@@ -61,7 +61,7 @@
 	return l.first(queued.key, instance) == queued
 }
 
-func (l *holdLines) insert(queued *queuedRequest) {
+func (l *yieldQueues) insert(queued *queuedRequest) {
 	queue := l.queues[queued.key]
 	at, _ := slices.BinarySearchFunc(queue, queued, compareSlackEnds)
 	l.queues[queued.key] = slices.Insert(queue, at, queued)
@@ -75,7 +75,7 @@
 }
 
 // dequeue removes a request and wakes the next one for its instance. It does nothing if the request is not queued.
-func (l *holdLines) dequeue(queued *queuedRequest) {
+func (l *yieldQueues) dequeue(queued *queuedRequest) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.remove(queued) {
@@ -85,7 +85,7 @@
 
 // precedes reports whether another request for the same model and instance has to be sent before a request whose slack
 // ends at slackEnd, and wakes that other request. Queued is nil for a request that is not in a queue.
-func (l *holdLines) precedes(queued *queuedRequest, key queueKey, instance string, slackEnd time.Time) bool {
+func (l *yieldQueues) precedes(queued *queuedRequest, key queueKey, instance string, slackEnd time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	first := l.first(key, instance)
@@ -97,7 +97,7 @@
 }
 
 // remove removes a request from its queue, and reports whether it was queued.
-func (l *holdLines) remove(queued *queuedRequest) bool {
+func (l *yieldQueues) remove(queued *queuedRequest) bool {
 	if !queued.enqueued {
 		return false
 	}
@@ -114,14 +114,14 @@
 }
 
 // wakeFirst wakes the first request for an instance.
-func (l *holdLines) wakeFirst(key queueKey, instance string) {
+func (l *yieldQueues) wakeFirst(key queueKey, instance string) {
 	if first := l.first(key, instance); first != nil {
 		first.signal()
 	}
 }
 
 // first returns the first request for an instance, or nil.
-func (l *holdLines) first(key queueKey, instance string) *queuedRequest {
+func (l *yieldQueues) first(key queueKey, instance string) *queuedRequest {
 	for _, queued := range l.queues[key] {
 		if queued.instance == instance {
 			return queued
--- a/gateway/backgroundqueue_test.go
+++ b/gateway/backgroundqueue_test.go
@@ -24,7 +24,7 @@
 
 // TestEarliestSlackIsFirst guards against requests that are sent in the order of their arrival, or in map order.
 func TestEarliestSlackIsFirst(t *testing.T) {
-	queues, key := newHoldLines(), queueKey{"svc", "m"}
+	queues, key := newYieldQueues(), queueKey{"svc", "m"}
 	late, early, same := newQueuedRequest(key, at(300)), newQueuedRequest(key, at(100)), newQueuedRequest(key, at(100))
 	if !queues.enqueue(late, "i") || !queues.enqueue(early, "i") || queues.enqueue(same, "i") {
 		t.Error("another request is reported as the first one")
@@ -56,7 +56,7 @@
 // TestLooksDoNotWakeOthers guards against requests with the same end of slack that pass the first position on at each
 // check. They would check without a pause for as long as they wait.
 func TestLooksDoNotWakeOthers(t *testing.T) {
-	queues, key := newHoldLines(), queueKey{"svc", "m"}
+	queues, key := newYieldQueues(), queueKey{"svc", "m"}
 	first, second := newQueuedRequest(key, at(100)), newQueuedRequest(key, at(100))
 	queues.enqueue(first, "i")
 	queues.enqueue(second, "i")
@@ -67,7 +67,7 @@
 
 // TestLinesOfOtherModelsAndInstancesGoOn guards against a request that waits for a server that it does not need.
 func TestLinesOfOtherModelsAndInstancesGoOn(t *testing.T) {
-	queues, key, other := newHoldLines(), queueKey{"svc", "m"}, queueKey{"svc", "n"}
+	queues, key, other := newYieldQueues(), queueKey{"svc", "m"}, queueKey{"svc", "n"}
 	queues.enqueue(newQueuedRequest(key, at(100)), "i1")
 	if queues.precedes(nil, other, "i1", at(200)) || queues.precedes(nil, key, "i2", at(200)) {
 		t.Error("a request waits behind one for another model or instance")
@@ -80,7 +80,7 @@
 // TestFirstThatTurnsToAnotherInstanceWakesTheNext guards against a queue whose first request has found a better
 // instance, while the others sleep until their own slack ends.
 func TestFirstThatTurnsToAnotherInstanceWakesTheNext(t *testing.T) {
-	queues, key := newHoldLines(), queueKey{"svc", "m"}
+	queues, key := newYieldQueues(), queueKey{"svc", "m"}
 	first, second := newQueuedRequest(key, at(100)), newQueuedRequest(key, at(200))
 	queues.enqueue(first, "i1")
 	queues.enqueue(second, "i1")
@@ -94,7 +94,7 @@
 // order of arrivals, checks and ends. A request that becomes the first one for its instance is always woken.
 func TestNothingIsLostInLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		queues := newHoldLines()
+		queues := newYieldQueues()
 		var present []*queuedRequest
 		firsts := map[string]*queuedRequest{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -130,7 +130,7 @@
 
 // requireFirstsWoken compares the queues with the requests that are present. It also checks that requests which have
 // become the first ones were woken, except for the one that has just checked itself.
-func requireFirstsWoken(t *rapid.T, queues *holdLines, present []*queuedRequest, before map[string]*queuedRequest, acting *queuedRequest) map[string]*queuedRequest {
+func requireFirstsWoken(t *rapid.T, queues *yieldQueues, present []*queuedRequest, before map[string]*queuedRequest, acting *queuedRequest) map[string]*queuedRequest {
 	count, now := 0, map[string]*queuedRequest{}
 	for key, queue := range queues.queues {
 		count += len(queue)
--- a/gateway/backgroundqueue_exit_test.go
+++ b/gateway/backgroundqueueexit_test.go
@@ -17,7 +17,7 @@
 
 func (fullChooser) Choose(_ context.Context, view *fleet.View, service string, _ *balance.Request) *balance.Candidate {
 	instance := view.Instances(service)[0]
-	return &balance.Candidate{Instance: instance, Available: true, Of: 1, Load: balance.Load{Requests: instance.Slots}}
+	return &balance.Candidate{Instance: instance, Available: true, CandidateCount: 1, Load: balance.Load{Requests: instance.Slots}}
 }
 
 // brokenUpstream fails each request after it may have reached the instance.
@@ -30,9 +30,9 @@
 // discardDemand is a DemandObserver that ignores everything.
 type discardDemand struct{}
 
-func (discardDemand) Lacking(string, string, string) func() { return func() {} }
-func (discardDemand) Enter(string, string) func()           { return func() {} }
-func (discardDemand) Refused(string, string)                {}
+func (discardDemand) ModelMissing(string, string, string) func() { return func() {} }
+func (discardDemand) RequestStarted(string, string) func()       { return func() {} }
+func (discardDemand) Refused(string, string)                     {}
 
 // yieldingView has one server, and a route with the path prefix /x/ whose requests are background requests that yield
 // there.
@@ -46,7 +46,7 @@
 	return fleet.NewView(configuration, []*fleet.Instance{instance})
 }
 
-func queueCount(queues *holdLines) int {
+func queueCount(queues *yieldQueues) int {
 	queues.mutex.Lock()
 	defer queues.mutex.Unlock()
 	return len(queues.queues)
@@ -68,8 +68,8 @@
 	}
 	for _, c := range cases {
 		synctest.Test(t, func(t *testing.T) {
-			settings := Settings{WaitShare: 0.5, ShareOfConnections: func() float64 { return 1 }}
-			g := New(settings, c.upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), discardDemand{}, quietObserver{})
+			settings := Settings{MaxWaitShare: 0.5, ConnectionShare: func() float64 { return 1 }}
+			g := New(settings, c.upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), discardDemand{}, nopObserver{})
 			g.SetChooser(fullChooser{})
 			g.SetView(yieldingView())
 			ctx, leave := context.WithCancel(context.Background())
@@ -81,9 +81,9 @@
 				time.AfterFunc(c.drains, g.Drain)
 			}
 			var during atomic.Int64
-			time.AfterFunc(10*time.Millisecond, func() { during.Store(int64(queueCount(g.holds))) })
-			g.Serve(ctx, &Request{Model: "m", Path: "/x/y", RouteHost: "host", Arrived: time.Now()}, &keptReply{})
-			if left := queueCount(g.holds); during.Load() != 1 || left > 0 {
+			time.AfterFunc(10*time.Millisecond, func() { during.Store(int64(queueCount(g.backgroundQueues))) })
+			g.Serve(ctx, &Request{Model: "m", Path: "/x/y", RouteHost: "host", Arrived: time.Now()}, &statusReply{})
+			if left := queueCount(g.backgroundQueues); during.Load() != 1 || left > 0 {
 				t.Errorf("%s: %d queues during the wait, %d after it", c.name, during.Load(), left)
 			}
 		})
@@ -94,7 +94,7 @@
 type fullUntilChooser struct{ until time.Time }
 
 func (c fullUntilChooser) Choose(_ context.Context, view *fleet.View, service string, _ *balance.Request) *balance.Candidate {
-	candidate := &balance.Candidate{Instance: view.Instances(service)[0], Available: true, Of: 1}
+	candidate := &balance.Candidate{Instance: view.Instances(service)[0], Available: true, CandidateCount: 1}
 	if time.Now().Before(c.until) {
 		candidate.Load.Requests = candidate.Instance.Slots
 	}
@@ -110,14 +110,14 @@
 // queue. It would keep the requests behind it from using the room.
 func TestWhoWaitsForAConnectionIsNotInLine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		settings := Settings{WaitShare: 0.5, ShareOfConnections: func() float64 { return 1 }}
-		g := New(settings, noConnectionUpstream{}, balance.NewTracker(), retry.NewBudget(0.2, 10), discardDemand{}, quietObserver{})
+		settings := Settings{MaxWaitShare: 0.5, ConnectionShare: func() float64 { return 1 }}
+		g := New(settings, noConnectionUpstream{}, balance.NewTracker(), retry.NewBudget(0.2, 10), discardDemand{}, nopObserver{})
 		g.SetChooser(fullUntilChooser{time.Now().Add(30 * time.Millisecond)})
 		g.SetView(yieldingView())
 		var during, after atomic.Int64
-		time.AfterFunc(10*time.Millisecond, func() { during.Store(int64(queueCount(g.holds))) })
-		time.AfterFunc(100*time.Millisecond, func() { after.Store(int64(queueCount(g.holds))) })
-		reply := &keptReply{}
+		time.AfterFunc(10*time.Millisecond, func() { during.Store(int64(queueCount(g.backgroundQueues))) })
+		time.AfterFunc(100*time.Millisecond, func() { after.Store(int64(queueCount(g.backgroundQueues))) })
+		reply := &statusReply{}
 		g.Serve(context.Background(), &Request{Model: "m", Path: "/x/y", RouteHost: "host", Arrived: time.Now()}, reply)
 		if during.Load() != 1 || after.Load() != 0 || reply.status != statusUnavailable {
 			t.Errorf("status %d, %d queues while the batch is full, %d after that", reply.status, during.Load(), after.Load())
@@ -125,4 +125,4 @@
 	})
 }
 
-func (discardDemand) LackingSoftware(_, _, _ string) func() { return func() {} }
+func (discardDemand) SoftwareMissing(_, _, _ string) func() { return func() {} }
--- a/gateway/backgroundwait.go
+++ b/gateway/backgroundwait.go
@@ -9,11 +9,11 @@
 	"github.com/wheatweir/wheatweir/internal/mechanism"
 )
 
-// background is the state of a request that may yield to more urgent ones.
-type background struct {
-	// applies is set if the request yields. over is set once its slack has ended.
-	applies bool
-	over    bool
+// backgroundState is the state of a request that may yield to more urgent ones.
+type backgroundState struct {
+	// yields is set if the request yields. over is set once its slack has ended.
+	yields    bool
+	slackOver bool
 	// wait is nil while the request has not waited.
 	wait *backgroundWait
 }
@@ -41,42 +41,42 @@
 }
 
 // yieldsNow reports whether the request waits if its instance is busy.
-func (e *exchange) yieldsNow() bool { return e.background.applies && !e.background.over }
+func (e *exchange) yieldsNow() bool { return e.backgroundState.yields && !e.backgroundState.slackOver }
 
 // yield decides whether a background request is sent to its best instance, waits or is refused.
-func (e *exchange) yield(candidate *balance.Candidate) found {
+func (e *exchange) yield(candidate *balance.Candidate) searchResult {
 	decision := decideYield(yieldInput{
 		Priority: e.priority, Target: e.route.TargetLatency, Waited: e.since(e.request.Arrived), WaitLeft: e.until(e.waitUntil),
 		Forecast: e.forecast, Load: candidate.Load, Slots: candidate.Instance.Slots, Crowded: candidate.Crowded,
 	})
 	if decision.Action == yieldTooLate {
-		return foundHopeless
+		return searchStartsTooLate
 	}
-	if e.background.over || decision.Slack == 0 {
-		return foundReady
+	if e.backgroundState.slackOver || decision.Slack == 0 {
+		return searchReady
 	}
 	if decision.Action == yieldSend && !e.isPreceded(candidate.Instance.ID) {
-		return foundReady
+		return searchReady
 	}
-	if e.background.wait == nil {
-		e.background.wait = &backgroundWait{queued: newQueuedRequest(e.queueKey(), e.slackEnd())}
+	if e.backgroundState.wait == nil {
+		e.backgroundState.wait = &backgroundWait{queued: newQueuedRequest(e.queueKey(), e.slackEnd())}
 	}
-	e.background.wait.instance, e.background.wait.decision = candidate.Instance.ID, decision
-	return foundYields
+	e.backgroundState.wait.instance, e.backgroundState.wait.decision = candidate.Instance.ID, decision
+	return searchYields
 }
 
 // isPreceded reports whether another request of this daemon is sent to the same instance before this one.
 func (e *exchange) isPreceded(instance string) bool {
 	var queued *queuedRequest
-	if e.background.wait != nil {
-		queued = e.background.wait.queued
+	if e.backgroundState.wait != nil {
+		queued = e.backgroundState.wait.queued
 	}
-	return e.gateway.holds.precedes(queued, e.queueKey(), instance, e.slackEnd())
+	return e.gateway.backgroundQueues.precedes(queued, e.queueKey(), instance, e.slackEnd())
 }
 
 // slackEnd is when the slack of the request would end without a forecast.
 func (e *exchange) slackEnd() time.Time {
-	end := e.request.Arrived.Add(e.route.TargetLatency - yieldReserveOf(e.route.TargetLatency))
+	end := e.request.Arrived.Add(e.route.TargetLatency - yieldReserve(e.route.TargetLatency))
 	if e.waitUntil.Before(end) {
 		return e.waitUntil
 	}
@@ -85,25 +85,25 @@
 
 func (e *exchange) queueKey() queueKey { return queueKey{e.service, e.request.Model} }
 
-// awaitRoom waits for room at the instance until the next check. The request stays in the queue until leaveLine is
+// awaitRoom waits for room at the instance until the next check. The request stays in the queue until leaveQueue is
 // called.
 func (e *exchange) awaitRoom(ctx context.Context) {
 	e.phase = PhasePaced
-	wait := e.background.wait
+	wait := e.backgroundState.wait
 	if !wait.reported {
 		wait.reported = true
-		e.observe(Event{Step: StepPaced, Reason: ReasonYields})
+		e.observe(Event{Step: StepPaced, Reason: ReasonYielding})
 	}
 	began := e.gateway.Now()
-	pause := min(wait.decision.Slack, lookPause)
-	if e.gateway.holds.enqueue(wait.queued, wait.instance) {
+	pause := min(wait.decision.Slack, recheckInterval)
+	if e.gateway.backgroundQueues.enqueue(wait.queued, wait.instance) {
 		pause = wait.decision.Next
 	}
-	e.returnBeforeLoss(pause)
+	e.refundIfExpiring(pause)
 	e.waitForWake(ctx, pause)
 	took := e.since(began)
 	wait.waited += took
-	e.background.over = took >= wait.decision.Slack
+	e.backgroundState.slackOver = took >= wait.decision.Slack
 }
 
 // waitForWake waits until the request becomes the first one for its instance, for the given duration at most.
@@ -111,25 +111,25 @@
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
-	case <-e.background.wait.queued.wake:
+	case <-e.backgroundState.wait.queued.wake:
 	case <-e.gateway.lifetime.Starts.Done():
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// leaveLine removes the request from its queue. It is called when the request has been sent and counted, has ended, or
+// leaveQueue removes the request from its queue. It is called when the request has been sent and counted, has ended, or
 // waits for something other than room.
-func (e *exchange) leaveLine() {
-	if e.background.wait != nil {
-		e.gateway.holds.dequeue(e.background.wait.queued)
+func (e *exchange) leaveQueue() {
+	if e.backgroundState.wait != nil {
+		e.gateway.backgroundQueues.dequeue(e.backgroundState.wait.queued)
 	}
 }
 
 // yielded is how long the request has waited for more urgent ones.
 func (e *exchange) yielded() time.Duration {
-	if e.background.wait == nil {
+	if e.backgroundState.wait == nil {
 		return 0
 	}
-	return e.background.wait.waited
+	return e.backgroundState.wait.waited
 }
--- a/gateway/backgroundwait_test.go
+++ b/gateway/backgroundwait_test.go
@@ -121,8 +121,8 @@
 func (r *batchResponse) Close() { r.free.Do(func() { <-r.server.running }) }
 
 func mixedGateway(upstream gateway.Upstream, tracker *balance.Tracker, observer gateway.Observer) *gateway.Gateway {
-	settings := gateway.Settings{RetryAfter: 200 * time.Millisecond, WaitShare: 0.5, ShareOfConnections: func() float64 { return 1 }}
-	g := gateway.New(settings, upstream, tracker, retry.NewBudget(0.2, 10), silentDemand{}, observer)
+	settings := gateway.Settings{RetryAfter: 200 * time.Millisecond, MaxWaitShare: 0.5, ConnectionShare: func() float64 { return 1 }}
+	g := gateway.New(settings, upstream, tracker, retry.NewBudget(0.2, 10), discardDemand{}, observer)
 	g.SetView(mixedView(4))
 	return g
 }
@@ -143,7 +143,7 @@
 		var all sync.WaitGroup
 		serve := func(route string, number int, target time.Duration) {
 			all.Go(func() {
-				sent, got := mixedRequest(route, fmt.Sprint(route, number)), &client{}
+				sent, got := mixedRequest(route, fmt.Sprint(route, number)), &recordingReply{}
 				g.Serve(context.Background(), sent, got)
 				if took := got.at.Sub(sent.Arrived); got.status != 200 || took > target {
 					t.Errorf("%s: status %d (%s) after %v", sent.ID, got.status, got.reason, took)
@@ -159,7 +159,7 @@
 			serve("stream", number, urgentTarget)
 		}
 		all.Wait()
-		yielded := observed.matching(gateway.StepPaced, gateway.ReasonYields)
+		yielded := observed.matching(gateway.StepPaced, gateway.ReasonYielding)
 		if len(yielded) != burst-4 {
 			t.Errorf("%d requests yielded, want %d", len(yielded), burst-4)
 		}
@@ -193,14 +193,14 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				tracker, observed, got := busyTracker(0), &eventLog{}, &client{}
+				tracker, observed, got := busyTracker(0), &eventLog{}, &recordingReply{}
 				tracker.SetPeer(time.Now(), "peer", map[string]balance.Load{"i1": c.load})
 				if c.laterAt > 0 {
 					time.AfterFunc(c.laterAt, func() { tracker.SetPeer(time.Now(), "peer", map[string]balance.Load{"i1": c.laterLoad}) })
 				}
-				g := mixedGateway(&script{answers: []answer{{status: 200, body: "id: 1\n\n"}}}, tracker, observed)
+				g := mixedGateway(&scriptedUpstream{answers: []answer{{status: 200, body: "id: 1\n\n"}}}, tracker, observed)
 				sent := mixedRequest("resume", "r")
-				sent.Patience = c.timeout
+				sent.ClientTimeout = c.timeout
 				g.Serve(context.Background(), sent, got)
 				took := got.at.Sub(sent.Arrived)
 				if got.status != c.status || took < c.at || took > c.until {
@@ -247,12 +247,12 @@
 						made.Routes[i].Priority, made.Routes[i].TargetLatency = c.priority, c.target
 					}
 				}
-				sent, got := mixedRequest("resume", "r"), &client{}
+				sent, got := mixedRequest("resume", "r"), &recordingReply{}
 				sent.ResumeAfter = c.resumes
 				if c.tenant != nil {
 					made.Tenants, sent.Key = []tenant.Tenant{*c.tenant}, tenant.DigestOf(goodKey)
 				}
-				g := mixedGateway(&script{answers: []answer{{status: 200, body: "id: 8\n\n"}}}, busyTracker(4), silent{})
+				g := mixedGateway(&scriptedUpstream{answers: []answer{{status: 200, body: "id: 8\n\n"}}}, busyTracker(4), discardObserver{})
 				g.SetView(fleet.NewView(made, mixedView(4).Instances("svc")))
 				g.Serve(context.Background(), sent, got)
 				if took := got.at.Sub(sent.Arrived); got.status != 200 || took < c.want || took > c.want+maxPollInterval {
@@ -268,7 +268,7 @@
 func TestHeldRequestsGoInTheOrderOfTheirSlack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newBatchServer(1, 100*time.Millisecond)
-		g := mixedGateway(server, balance.NewTracker(), silent{})
+		g := mixedGateway(server, balance.NewTracker(), discardObserver{})
 		g.SetView(mixedView(1))
 		var all sync.WaitGroup
 		serve := func(id string, age time.Duration) context.CancelFunc {
@@ -276,7 +276,7 @@
 			all.Go(func() {
 				sent := mixedRequest("resume", id)
 				sent.Arrived = sent.Arrived.Add(-age)
-				g.Serve(ctx, sent, &client{})
+				g.Serve(ctx, sent, &recordingReply{})
 			})
 			time.Sleep(time.Millisecond)
 			return leave
@@ -302,12 +302,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		// Between two checks.
 		const leaveAt, drainAt = 110 * time.Millisecond, 210 * time.Millisecond
-		upstream, observed := &script{}, &eventLog{}
+		upstream, observed := &scriptedUpstream{}, &eventLog{}
 		g := mixedGateway(upstream, busyTracker(4), observed)
 		var all sync.WaitGroup
 		ctx, leave := context.WithTimeoutCause(context.Background(), leaveAt, context.Canceled)
 		defer leave()
-		left, stopped := &client{}, [2]client{}
+		left, stopped := &recordingReply{}, [2]recordingReply{}
 		begun := time.Now()
 		all.Go(func() { g.Serve(ctx, mixedRequest("resume", "left"), left) })
 		for i := range stopped {
@@ -344,7 +344,7 @@
 				var all sync.WaitGroup
 				for range requests {
 					all.Go(func() {
-						sent, got := mixedRequest("resume", "r"), &client{}
+						sent, got := mixedRequest("resume", "r"), &recordingReply{}
 						g.Serve(context.Background(), sent, got)
 						if took := got.at.Sub(sent.Arrived); took > backgroundSlack {
 							t.Errorf("seed %d: status %d after %v", seed, got.status, took)
--- a/gateway/benchmark_test.go
+++ b/gateway/benchmark_test.go
@@ -38,21 +38,21 @@
 // discardReply is a gateway.Reply that discards everything.
 type discardReply struct{}
 
-func (discardReply) Begin(int, []gateway.Field, int64) error   { return nil }
-func (discardReply) Write([]byte) error                        { return nil }
-func (discardReply) Refuse(int, gateway.Reason, time.Duration) {}
-func (discardReply) Abort()                                    {}
-func (silentDemand) Lacking(string, string, string) func()     { return func() {} }
-func (silentDemand) Enter(string, string) func()               { return func() {} }
-func (silentDemand) Refused(string, string)                    {}
+func (discardReply) Begin(int, []gateway.Field, int64) error     { return nil }
+func (discardReply) Write([]byte) error                          { return nil }
+func (discardReply) Refuse(int, gateway.Reason, time.Duration)   {}
+func (discardReply) Abort()                                      {}
+func (discardDemand) ModelMissing(string, string, string) func() { return func() {} }
+func (discardDemand) RequestStarted(string, string) func()       { return func() {} }
+func (discardDemand) Refused(string, string)                     {}
 
-// silentDemand is a gateway.DemandObserver that ignores all reports.
-type silentDemand struct{}
+// discardDemand is a gateway.DemandObserver that ignores all reports.
+type discardDemand struct{}
 
 // serveImmediately returns a function that serves a request at an idle instance, by the given route.
 func serveImmediately(route string) func() {
 	instances := []*fleet.Instance{{ID: "i1", Service: "svc", Slots: 64, Residents: []fleet.Resident{{Model: "m"}}}}
-	g := trackedGateway(instantUpstream{}, silentDemand{}, balance.NewTracker())
+	g := trackedGateway(instantUpstream{}, discardDemand{}, balance.NewTracker())
 	g.SetView(fleet.NewView(mixedConfiguration(), instances))
 	sent := mixedRequest(route, "r")
 	return func() {
@@ -85,4 +85,4 @@
 	}
 }
 
-func (silentDemand) LackingSoftware(_, _, _ string) func() { return func() {} }
+func (discardDemand) SoftwareMissing(_, _, _ string) func() { return func() {} }
--- a/gateway/brittle_test.go
+++ b/gateway/brittle_test.go
@@ -24,8 +24,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				upstream, began := &script{}, time.Now()
-				reply := serveUnder(&fakeNotices{full: c.full}, upstream, request("unsafe"))
+				upstream, began := &scriptedUpstream{}, time.Now()
+				reply := serveWithNotices(&fakeNotices{full: c.full}, upstream, request("unsafe"))
 				if reply.status != c.status || reply.at.Sub(began) > 350*time.Millisecond {
 					t.Errorf("status %d after %v", reply.status, reply.at.Sub(began))
 				}
@@ -45,8 +45,8 @@
 func TestRefusalsForWantOfRoomAreNoted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		notices := &fakeNotices{}
-		upstream := &script{answers: []answer{{status: 503, declined: true}, {status: 421, declined: true, misdirected: true}, {status: 200, body: "ok"}}}
-		_ = serveUnder(notices, upstream, request("unsafe"))
+		upstream := &scriptedUpstream{answers: []answer{{status: 503, declined: true}, {status: 421, declined: true, misdirected: true}, {status: 200, body: "ok"}}}
+		_ = serveWithNotices(notices, upstream, request("unsafe"))
 		if len(upstream.sent) < 2 || !slices.Equal(notices.rejectedBy, []string{upstream.sent[0].Instance.ID}) {
 			t.Errorf("recorded rejections by %v in %d attempts", notices.rejectedBy, len(upstream.sent))
 		}
@@ -71,8 +71,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				notices := &fakeNotices{slots: map[string]int{"i1": 1, "i2": 0, "i3": 0}}
-				upstream := &script{answers: c.answers}
-				serveUnder(notices, upstream, request("unsafe"))
+				upstream := &scriptedUpstream{answers: c.answers}
+				serveWithNotices(notices, upstream, request("unsafe"))
 				if len(upstream.sent) != 1 || upstream.sent[0].Instance.ID != "i1" || notices.slots["i1"] != c.left {
 					t.Errorf("sent to %v, %d slots left, want %d", upstream.sent, notices.slots["i1"], c.left)
 				}
--- a/gateway/candidate.go
+++ b/gateway/candidate.go
@@ -17,15 +17,15 @@
 func (e *exchange) candidate(ctx context.Context) (*balance.Candidate, Reason) {
 	if e.waitUntil.IsZero() {
 		left := e.until(e.firstEventDeadline)
-		e.waitUntil = e.gateway.Now().Add(time.Duration(float64(left) * e.gateway.settings.WaitShare))
+		e.waitUntil = e.gateway.Now().Add(time.Duration(float64(left) * e.gateway.settings.MaxWaitShare))
 	}
 	wait := &candidateWait{exchange: e, nextDelay: minCrowdedDelay}
 	defer wait.end()
-	e.background.applies = e.mayYield(e.gateway.view.Load())
+	e.backgroundState.yields = e.mayYield(e.gateway.view.Load())
 	for {
 		changed := *e.gateway.changed.Load()
 		view := e.gateway.view.Load()
-		if e.drained() {
+		if e.startBlocked() {
 			return nil, ReasonStopping
 		}
 		if e.held() {
@@ -34,36 +34,36 @@
 		e.phase = PhaseChoosing
 		candidate, found := e.find(ctx, view, wait.lacksConnection)
 		switch found {
-		case foundReady:
+		case searchReady:
 			return candidate, ""
-		case foundHopeless:
+		case searchStartsTooLate:
 			return nil, ReasonOverloaded
-		case foundTooLate:
+		case searchExpired:
 			return nil, ReasonNeverSent
-		case foundCrowded:
+		case searchCrowded:
 			wait.delayWhileCrowded(ctx)
-		case foundYields:
+		case searchYields:
 			wait.yield(ctx)
-		case foundFull:
+		case searchFull:
 			if !wait.awaitCapacity(ctx) {
 				return nil, ReasonOverloaded
 			}
-		case foundAtLimit:
+		case searchAtLimit:
 			if !wait.awaitUnreached(ctx, changed) {
 				return nil, ReasonAtLimit
 			}
-		case foundNoConnection:
+		case searchNoConnection:
 			if !wait.awaitConnection(ctx) {
 				return nil, ReasonNoConnection
 			}
-		case foundNone:
+		case searchNone:
 			if e.lacksSoftware(view) {
 				return nil, ReasonNoSoftware
 			}
 			if wait.awaitUnreached(ctx, changed) {
 				continue
 			}
-			if until := e.restsUntil(view); !until.IsZero() {
+			if until := e.earliestRestEnd(view); !until.IsZero() {
 				if !wait.awaitBackoffEnd(ctx, until) {
 					return nil, ReasonResting
 				}
@@ -79,81 +79,81 @@
 	}
 }
 
-// found is the result of one search for an instance.
-type found uint8
+// searchResult is the result of one search for an instance.
+type searchResult uint8
 
 const (
-	// foundReady means that the request can be sent now.
-	foundReady found = iota
-	// foundNone means that no instance may take it.
-	foundNone
-	// foundCrowded means that even the best instance is crowded: it has many prompt tokens to read, or a full batch.
-	foundCrowded
-	// foundYields means that the request waits for more urgent ones.
-	foundYields
-	// foundHopeless means that even the best instance is predicted to begin its answer too late.
-	foundHopeless
-	// foundNoConnection means that all of this daemon's connections to the best instances
+	// searchReady means that the request can be sent now.
+	searchReady searchResult = iota
+	// searchNone means that no instance may take it.
+	searchNone
+	// searchCrowded means that even the best instance is crowded: it has many prompt tokens to read, or a full batch.
+	searchCrowded
+	// searchYields means that the request waits for more urgent ones.
+	searchYields
+	// searchStartsTooLate means that even the best instance is predicted to begin its answer too late.
+	searchStartsTooLate
+	// searchNoConnection means that all of this daemon's connections to the best instances
 	// for the request are in use.
-	foundNoConnection
-	// foundAtLimit means that the remaining instances are at their announced limit and have no turn soon.
-	foundAtLimit
-	// foundFull means that the instances which crash when they have to reject requests (brittle ones) have no room.
-	foundFull
-	// foundTooLate means that the request's deadline passed or its client disconnected
+	searchNoConnection
+	// searchAtLimit means that the remaining instances are at their announced limit and have no turn soon.
+	searchAtLimit
+	// searchFull means that the instances which crash when they have to reject requests (brittle ones) have no room.
+	searchFull
+	// searchExpired means that the request's deadline passed or its client disconnected
 	// before it could be sent.
-	foundTooLate
+	searchExpired
 )
 
 // find searches for an instance. A request that awaits a connection probably finds none again, so connections are
 // checked first: the choice may be a message to another daemon, which then expects the request to be sent.
-func (e *exchange) find(ctx context.Context, view *fleet.View, awaitsConnection bool) (*balance.Candidate, found) {
+func (e *exchange) find(ctx context.Context, view *fleet.View, awaitsConnection bool) (*balance.Candidate, searchResult) {
 	var saturated []string
 	if awaitsConnection {
 		var free bool
 		if saturated, free = e.saturated(view); len(saturated) > 0 && !free {
-			return nil, foundNoConnection
+			return nil, searchNoConnection
 		}
 	}
-	barred, atLimit := e.bars()
+	barred, atLimit := e.exclusions()
 	var full []string
 	for {
 		candidate := e.pick(ctx, view, slices.Concat(barred, atLimit, saturated, full))
 		switch {
 		case ctx.Err() != nil:
-			return nil, foundTooLate
+			return nil, searchExpired
 		case candidate == nil && len(full) > 0:
-			return nil, foundFull
+			return nil, searchFull
 		case candidate == nil && len(atLimit) > 0:
 			return e.atLimit(ctx, view, slices.Concat(barred, saturated))
 		case candidate == nil && len(saturated) > 0:
-			return nil, foundNoConnection
+			return nil, searchNoConnection
 		case candidate == nil:
-			return nil, foundNone
+			return nil, searchNone
 		}
-		if assessed := e.assess(candidate); assessed != foundReady {
+		if assessed := e.assess(candidate); assessed != searchReady {
 			return nil, secondChoiceResult(saturated, assessed)
 		}
 		switch {
 		case !e.hasRoom(candidate):
 			if full = append(full, candidate.Instance.ID); len(full) == maxFullInstances {
-				return nil, foundFull
+				return nil, searchFull
 			}
 			continue
 		case e.hasConnection(candidate.Instance):
-			if !e.takeSlot(ctx, candidate) {
+			if !e.acquireSlot(ctx, candidate) {
 				if full = append(full, candidate.Instance.ID); len(full) == maxFullInstances {
-					return nil, foundFull
+					return nil, searchFull
 				}
 				continue
 			}
-			if e.takeTurn(ctx, candidate.Instance, 0) {
-				return candidate, foundReady
+			if e.acquireTurn(ctx, candidate.Instance, 0) {
+				return candidate, searchReady
 			}
 			atLimit = append(atLimit, candidate.Instance.ID)
 			continue
 		case slices.Contains(saturated, candidate.Instance.ID):
-			return nil, foundNoConnection
+			return nil, searchNoConnection
 		}
 		saturated, _ = e.saturated(view)
 		saturated = append(saturated, candidate.Instance.ID)
@@ -162,9 +162,9 @@
 
 // secondChoiceResult returns the result of a further choice that is not ready. If the first choice only lacked a
 // connection, the request waits for that connection instead.
-func secondChoiceResult(saturated []string, second found) found {
+func secondChoiceResult(saturated []string, second searchResult) searchResult {
 	if len(saturated) > 0 {
-		return foundNoConnection
+		return searchNoConnection
 	}
 	return second
 }
@@ -174,7 +174,7 @@
 func (e *exchange) saturated(view *fleet.View) (saturated []string, free bool) {
 	for _, instance := range view.Instances(e.service) {
 		switch {
-		case instance.Leaving || !e.has(instance) || !e.origin.allows(instance):
+		case instance.Leaving || !e.hasModel(instance) || !e.requiredOrigin.allows(instance):
 		case e.hasConnection(instance):
 			free = true
 		default:
@@ -184,8 +184,8 @@
 	return saturated, free
 }
 
-// has reports whether an instance has loaded the model and adapter of the request.
-func (e *exchange) has(instance *fleet.Instance) bool {
+// hasModel reports whether an instance has loaded the model and adapter of the request.
+func (e *exchange) hasModel(instance *fleet.Instance) bool {
 	if e.request.Model == "" {
 		return true
 	}
@@ -208,9 +208,9 @@
 	}
 }
 
-// lookPause is the interval at which a waiting request searches again without a change of the snapshot: conditions
+// recheckInterval is the interval at which a waiting request searches again without a change of the snapshot: conditions
 // that keep requests from instances also end by the passing of time.
-const lookPause = 100 * time.Millisecond
+const recheckInterval = 100 * time.Millisecond
 
 // pick chooses among the instances that the request was not sent to and that are not excluded otherwise.
 func (e *exchange) pick(ctx context.Context, view *fleet.View, excluded []string) *balance.Candidate {
@@ -218,9 +218,9 @@
 		Model: e.request.Model, Adapter: e.request.Adapter, Zone: e.gateway.settings.Zone, ZoneCost: e.gateway.settings.zoneCost(),
 		Affinity: e.affinity(), PromptTokens: e.request.PromptTokens, PromptLimit: e.promptLimit(view),
 		Yields:       e.yieldsNow(),
-		MemoryTokens: memoryTokens(view, e.service), Excluded: slices.Concat(e.passed, excluded, e.sentTo),
+		MemoryTokens: memoryTokens(view, e.service), Excluded: slices.Concat(e.unreachable, excluded, e.attemptedInstances),
 		OutputTokens: e.request.OutputTokens, TargetGap: e.targetGap(), Tokens: e.gateway.tracker.TokenTimes(e.service),
-		Pinned: e.origin.pinned, Software: e.origin.software,
+		Pinned: e.requiredOrigin.required, Software: e.requiredOrigin.software,
 	}
 	return e.gateway.chooser.Choose(ctx, view, e.service, &request)
 }
@@ -260,7 +260,7 @@
 		return ReasonNoInstance
 	}
 	for _, instance := range view.Instances(e.service) {
-		if !instance.Leaving && e.origin.allows(instance) && instance.Resident(e.request.Model) != nil {
+		if !instance.Leaving && e.requiredOrigin.allows(instance) && instance.Resident(e.request.Model) != nil {
 			return ReasonNoAdapter
 		}
 	}
--- a/gateway/connections_test.go
+++ b/gateway/connections_test.go
@@ -35,7 +35,7 @@
 func TestRequestWaitsForAConnection(t *testing.T) {
 	const freeAt = 300 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		upstream, observer, got := &script{connectionsFreeAt: connectionsBusyFor("i1", freeAt)}, &recorder{}, &client{}
+		upstream, observer, got := &scriptedUpstream{connectionsFreeAt: connectionsBusyFor("i1", freeAt)}, &recorder{}, &recordingReply{}
 		g := observedGateway(upstream, observer)
 		g.SetView(oneInstance(0))
 		sent := modelRequest("stream")
@@ -56,8 +56,8 @@
 // after the usual wait. The placement receives no demand, since no model has to be loaded.
 func TestRequestIsRefusedWithoutAConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		demand, got := &noDemand{}, &client{}
-		g := newGateway(&script{connectionsFreeAt: connectionsBusyFor("i1", time.Hour)}, demand)
+		demand, got := &recordingDemand{}, &recordingReply{}
+		g := newGateway(&scriptedUpstream{connectionsFreeAt: connectionsBusyFor("i1", time.Hour)}, demand)
 		g.SetView(oneInstance(0))
 		sent := modelRequest("stream")
 		g.Serve(context.Background(), sent, got)
@@ -83,18 +83,18 @@
 		reason gateway.Reason
 	}{
 		"the daemon stops":  {func(g *gateway.Gateway, _ context.CancelFunc) { g.Drain() }, gateway.ReasonStopping},
-		"its client leaves": {func(_ *gateway.Gateway, leave context.CancelFunc) { leave() }, gateway.ReasonClientGone},
+		"its client leaves": {func(_ *gateway.Gateway, leave context.CancelFunc) { leave() }, gateway.ReasonClientDisconnected},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				observer := &recorder{}
-				g := observedGateway(&script{connectionsFreeAt: connectionsBusyFor("i1", time.Hour)}, observer)
+				g := observedGateway(&scriptedUpstream{connectionsFreeAt: connectionsBusyFor("i1", time.Hour)}, observer)
 				g.SetView(oneInstance(0))
 				ctx, leave := context.WithCancel(context.Background())
 				defer leave()
 				time.AfterFunc(at, func() { c.end(g, leave) })
 				sent := modelRequest("stream")
-				g.Serve(ctx, sent, &client{})
+				g.Serve(ctx, sent, &recordingReply{})
 				if took := time.Since(sent.Arrived); took != at {
 					t.Errorf("ended after %v", took)
 				}
@@ -111,8 +111,8 @@
 func TestWaitForAConnectionEndsWithItsInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		never := time.Now().Add(time.Hour)
-		demand, got := &noDemand{}, &client{}
-		g := newGateway(&script{connectionsFreeAt: map[string]time.Time{"i1": never, "i2": never}}, demand)
+		demand, got := &recordingDemand{}, &recordingReply{}
+		g := newGateway(&scriptedUpstream{connectionsFreeAt: map[string]time.Time{"i1": never, "i2": never}}, demand)
 		other := &fleet.Instance{ID: "i2", Service: "svc", Slots: 4, Residents: []fleet.Resident{{Model: "n"}}}
 		g.SetView(fleet.NewView(configuration(), []*fleet.Instance{
 			{ID: "i1", Service: "svc", Slots: 4, Residents: []fleet.Resident{{Model: "m"}}}, other,
@@ -140,9 +140,9 @@
 			continue
 		}
 		if at == 0 {
-			return &balance.Candidate{Instance: instance, Available: true, Of: 1}
+			return &balance.Candidate{Instance: instance, Available: true, CandidateCount: 1}
 		}
-		return &balance.Candidate{Instance: instance, Available: true, Of: 1, Crowded: c.crowded, Load: c.load}
+		return &balance.Candidate{Instance: instance, Available: true, CandidateCount: 1, Crowded: c.crowded, Load: c.load}
 	}
 	return nil
 }
@@ -155,8 +155,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				upstream, got := &script{connectionsFreeAt: connectionsBusyFor("i1", 10*time.Millisecond)}, &client{}
-				g := trackedGateway(upstream, &noDemand{}, busyTracker(0))
+				upstream, got := &scriptedUpstream{connectionsFreeAt: connectionsBusyFor("i1", 10*time.Millisecond)}, &recordingReply{}
+				g := trackedGateway(upstream, &recordingDemand{}, busyTracker(0))
 				g.SetView(view("m"))
 				g.SetChooser(chooser)
 				sent := modelRequest("stream")
@@ -177,8 +177,8 @@
 func TestAnInstanceThatLackedAConnectionIsTriedLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		declined := answer{status: 503, declined: true, after: 300 * time.Millisecond}
-		upstream, got := &script{answers: []answer{declined}, connectionsFreeAt: connectionsBusyFor("i1", 10*time.Millisecond)}, &client{}
-		g := newGateway(upstream, &noDemand{})
+		upstream, got := &scriptedUpstream{answers: []answer{declined}, connectionsFreeAt: connectionsBusyFor("i1", 10*time.Millisecond)}, &recordingReply{}
+		g := newGateway(upstream, &recordingDemand{})
 		g.SetView(view("m"))
 		g.SetChooser(&orderedChooser{})
 		g.Serve(context.Background(), modelRequest("stream"), got)
@@ -194,10 +194,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		never := time.Now().Add(time.Hour)
 		chooser := &orderedChooser{}
-		g := newGateway(&script{connectionsFreeAt: map[string]time.Time{"i1": never, "i2": never, "i3": never}}, &noDemand{})
+		g := newGateway(&scriptedUpstream{connectionsFreeAt: map[string]time.Time{"i1": never, "i2": never, "i3": never}}, &recordingDemand{})
 		g.SetView(view("m"))
 		g.SetChooser(chooser)
-		g.Serve(context.Background(), modelRequest("stream"), &client{})
+		g.Serve(context.Background(), modelRequest("stream"), &recordingReply{})
 		if chooser.choices > 2 {
 			t.Errorf("%d choices while no connection was free", chooser.choices)
 		}
@@ -206,7 +206,7 @@
 
 // singleConnectionUpstream is an Upstream with a single connection that is in use for a fixed time for each request.
 type singleConnectionUpstream struct {
-	script
+	scriptedUpstream
 	inUse sync.Mutex
 	span  time.Duration
 }
@@ -225,7 +225,7 @@
 	}
 	defer u.inUse.Unlock()
 	time.Sleep(u.span)
-	return u.script.Send(ctx, outbound)
+	return u.scriptedUpstream.Send(ctx, outbound)
 }
 
 // TestConnectionsAreUsedWhileRequestsWait covers a burst before a load that one connection can carry. A request that
@@ -237,12 +237,12 @@
 		t.Run(fmt.Sprint(c.span, " every ", c.pause), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const burst, count = 10, 500
-				g := newGateway(&singleConnectionUpstream{span: c.span}, &noDemand{})
+				g := newGateway(&singleConnectionUpstream{span: c.span}, &recordingDemand{})
 				g.SetView(fleet.NewView(configuration(), []*fleet.Instance{{ID: "i1", Service: "svc", Slots: 400}}))
 				var refused atomic.Int64
 				var group sync.WaitGroup
 				serve := func() {
-					got := &client{}
+					got := &recordingReply{}
 					g.Serve(context.Background(), request("unsafe"), got)
 					if got.status != 200 {
 						refused.Add(1)
@@ -269,10 +269,10 @@
 func TestLosingAConnectionToAnotherRequestBlamesNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lost := answer{err: gateway.ErrNotSent.Wrap(gateway.ErrNoConnection.New("in use"))}
-		upstream, got := &script{answers: []answer{lost, lost, lost, lost}}, &client{}
+		upstream, got := &scriptedUpstream{answers: []answer{lost, lost, lost, lost}}, &recordingReply{}
 		tracker := balance.NewTracker()
 		tracker.SetPeer(time.Now(), "peer", map[string]balance.Load{"i2": {Requests: 3}, "i3": {Requests: 3}})
-		g := trackedGateway(upstream, &noDemand{}, tracker)
+		g := trackedGateway(upstream, &recordingDemand{}, tracker)
 		g.SetView(view("m"))
 		sent := modelRequest("stream")
 		g.Serve(context.Background(), sent, got)
@@ -300,8 +300,8 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			notSent := answer{err: gateway.ErrNotSent.New("refused"), after: attempt}
-			got := &client{}
-			g := newGateway(&script{answers: slices.Repeat([]answer{notSent}, 10)}, &noDemand{})
+			got := &recordingReply{}
+			g := newGateway(&scriptedUpstream{answers: slices.Repeat([]answer{notSent}, 10)}, &recordingDemand{})
 			g.SetView(oneInstance(0))
 			sent := modelRequest("stream")
 			g.Serve(context.Background(), sent, got)
@@ -327,13 +327,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		const count = 10
 		observer := &ejectionCounter{}
-		g := observedGateway(&script{answers: slices.Repeat([]answer{{status: 200, stall: true}}, count)}, observer)
+		g := observedGateway(&scriptedUpstream{answers: slices.Repeat([]answer{{status: 200, stall: true}}, count)}, observer)
 		g.SetView(view("m"))
 		g.SetChooser(&orderedChooser{})
 		time.AfterFunc(time.Second, g.End)
 		var group sync.WaitGroup
 		for range count {
-			group.Go(func() { g.Serve(context.Background(), modelRequest("stream"), &client{}) })
+			group.Go(func() { g.Serve(context.Background(), modelRequest("stream"), &recordingReply{}) })
 			synctest.Wait()
 		}
 		group.Wait()
@@ -348,19 +348,19 @@
 
 func (c leavingChooser) Choose(_ context.Context, view *fleet.View, service string, _ *balance.Request) *balance.Candidate {
 	c.leave()
-	return &balance.Candidate{Instance: view.Instances(service)[0], Available: true, Of: 1}
+	return &balance.Candidate{Instance: view.Instances(service)[0], Available: true, CandidateCount: 1}
 }
 
 // TestNothingIsSentForAClientThatLeftDuringTheChoice covers a client that leaves during a choice that takes time, for
 // example at a dispatcher.
 func TestNothingIsSentForAClientThatLeftDuringTheChoice(t *testing.T) {
-	upstream, observer := &script{}, &recorder{}
+	upstream, observer := &scriptedUpstream{}, &recorder{}
 	g := observedGateway(upstream, observer)
 	g.SetView(oneInstance(0))
 	ctx, leave := context.WithCancel(context.Background())
 	g.SetChooser(leavingChooser{leave})
-	g.Serve(ctx, request("unsafe"), &client{})
-	if last := observer.events[len(observer.events)-1]; len(upstream.sent) > 0 || last.Reason != gateway.ReasonClientGone {
+	g.Serve(ctx, request("unsafe"), &recordingReply{})
+	if last := observer.events[len(observer.events)-1]; len(upstream.sent) > 0 || last.Reason != gateway.ReasonClientDisconnected {
 		t.Errorf("%d attempts, reason %q", len(upstream.sent), last.Reason)
 	}
 }
--- a/gateway/deadline_test.go
+++ b/gateway/deadline_test.go
@@ -19,7 +19,7 @@
 	if c.calls > 3 {
 		panic("more than 3 choices for one request")
 	}
-	return &balance.Candidate{Instance: view.Instances(service)[0], Available: true, Of: 1}
+	return &balance.Candidate{Instance: view.Instances(service)[0], Available: true, CandidateCount: 1}
 }
 
 // roomyUpstream is an Upstream that has free connections and cannot reach any instance.
@@ -31,25 +31,25 @@
 	return nil, ErrNotSent.New("not expected")
 }
 
-// keptReply is a Reply that stores the status of a refusal.
-type keptReply struct{ status int }
+// statusReply is a Reply that stores the status of a refusal.
+type statusReply struct{ status int }
 
-func (r *keptReply) Begin(int, []Field, int64) error { return nil }
-func (r *keptReply) Write([]byte) error              { return nil }
-func (r *keptReply) Abort()                          {}
-func (r *keptReply) Refuse(status int, _ Reason, _ time.Duration) {
+func (r *statusReply) Begin(int, []Field, int64) error { return nil }
+func (r *statusReply) Write([]byte) error              { return nil }
+func (r *statusReply) Abort()                          {}
+func (r *statusReply) Refuse(status int, _ Reason, _ time.Duration) {
 	r.status = status
 }
 
-type quietObserver struct{}
+type nopObserver struct{}
 
-func (quietObserver) Observe(Event) {}
+func (nopObserver) Observe(Event) {}
 
 // TestDeadlineThatTheContextDoesNotTellYet guards against a request that chooses an instance over and over because the
 // clock has reached the deadline and the context has not.
 func TestDeadlineThatTheContextDoesNotTellYet(t *testing.T) {
-	chooser, reply := &countingChooser{}, &keptReply{}
-	g := New(Settings{ShareOfConnections: func() float64 { return 1 }}, roomyUpstream{}, balance.NewTracker(), retry.NewBudget(0.2, 10), nil, quietObserver{})
+	chooser, reply := &countingChooser{}, &statusReply{}
+	g := New(Settings{ConnectionShare: func() float64 { return 1 }}, roomyUpstream{}, balance.NewTracker(), retry.NewBudget(0.2, 10), nil, nopObserver{})
 	g.SetChooser(chooser)
 	g.lifetime = drain.NewLifetime()
 	configuration := &fleet.Configuration{Version: 1, Services: []fleet.Service{{Name: "svc"}}}
--- a/gateway/event.go
+++ b/gateway/event.go
@@ -19,8 +19,8 @@
 	// this key.
 	ReasonNoKey      Reason = "no_key"
 	ReasonUnknownKey Reason = "unknown_key"
-	// ReasonUnsure means that the configuration of this daemon may be too old to tell whether the key is still valid.
-	ReasonUnsure Reason = "configuration_unsure"
+	// ReasonConfigurationUnsure means that the configuration of this daemon may be too old to tell whether the key is still valid.
+	ReasonConfigurationUnsure Reason = "configuration_unsure"
 	// ReasonQuota means that the tenant has exhausted its limit, ReasonQuotaUnsure that no daemon could be reached to
 	// check the limit.
 	ReasonQuota       Reason = "quota"
@@ -52,17 +52,17 @@
 	// ReasonSuspected means that a server crashed while running a request with this content or with a part of this
 	// prompt. Until it is decided whether the request caused the crash, such requests run one at a time.
 	ReasonSuspected Reason = "suspected"
-	// ReasonYields means that a background request waits for more urgent ones at its server, until its slack ends at
+	// ReasonYielding means that a background request waits for more urgent ones at its server, until its slack ends at
 	// the latest.
-	ReasonYields      Reason = "yields"
-	ReasonDeclined    Reason = "declined"
-	ReasonUnreached   Reason = "unreached"
-	ReasonBroken      Reason = "broken"
-	ReasonTimeout     Reason = "timeout"
-	ReasonNeverSent   Reason = "never_sent"
-	ReasonClientGone  Reason = "client_gone"
-	ReasonAnswered    Reason = "answered"
-	ReasonStreamBroke Reason = "stream_broke"
+	ReasonYielding           Reason = "yields"
+	ReasonDeclined           Reason = "declined"
+	ReasonUnreachable        Reason = "unreached"
+	ReasonBroken             Reason = "broken"
+	ReasonTimeout            Reason = "timeout"
+	ReasonNeverSent          Reason = "never_sent"
+	ReasonClientDisconnected Reason = "client_gone"
+	ReasonAnswered           Reason = "answered"
+	ReasonStreamBroke        Reason = "stream_broke"
 	// ReasonBodyTooLarge and ReasonBodyFramedTwice are faults of the request's body: it exceeds the maximum size, or
 	// its framing is given in two ways.
 	ReasonBodyTooLarge    Reason = "body_too_large"
@@ -73,14 +73,14 @@
 // StepRefused and StepBrokenOff.
 type Step string
 
-// Final reports whether a step ends a request.
-func (s Step) Final() bool { return s == StepEnded || s == StepRefused || s == StepBrokenOff }
+// IsFinal reports whether a step ends a request.
+func (s Step) IsFinal() bool { return s == StepEnded || s == StepRefused || s == StepBrokenOff }
 
 // Steps.
 const (
 	// StepWaiting means that no instance can take the request now.
 	StepWaiting Step = "waiting"
-	// StepPaced means that every instance has many prompts to process or, with ReasonYields, that the request waits for
+	// StepPaced means that every instance has many prompts to process or, with ReasonYielding, that the request waits for
 	// more urgent ones.
 	StepPaced Step = "paced"
 	// StepSent means that an instance was chosen.
@@ -91,8 +91,8 @@
 	StepDeclined Step = "declined"
 	// StepAttemptFailed means that the instance may have run the request, but gave no answer that can be relayed.
 	StepAttemptFailed Step = "attempt_failed"
-	// StepStreamBroke means that a stream was truncated.
-	StepStreamBroke Step = "stream_broke"
+	// StepStreamTruncated means that a stream was truncated.
+	StepStreamTruncated Step = "stream_broke"
 	// StepEjected means that the instance receives no requests for a while.
 	StepEjected Step = "ejected"
 	// StepEnded, StepRefused and StepBrokenOff end a request. StepEnded: with the answer of an instance, or because the
@@ -170,7 +170,7 @@
 // endsAnswer reports whether the event ends the answer of an instance, successfully or not.
 func (e *Event) endsAnswer() bool {
 	switch e.Step {
-	case StepStreamBroke, StepAttemptFailed:
+	case StepStreamTruncated, StepAttemptFailed:
 		return true
 	case StepEnded:
 		return e.Reason == ReasonAnswered
@@ -178,11 +178,11 @@
 	return false
 }
 
-// TellsPrompt reports whether the parts of the request's prompt help to find the cause of the event. That is so if the
+// NeedsPromptParts reports whether the parts of the request's prompt help to find the cause of the event. That is so if the
 // instance may have crashed while running the request, or if the request is kept from instances since others crashed.
-func (e *Event) TellsPrompt() bool {
+func (e *Event) NeedsPromptParts() bool {
 	switch e.Step {
-	case StepStreamBroke, StepAttemptFailed:
+	case StepStreamTruncated, StepAttemptFailed:
 		return true
 	}
 	return e.Reason == ReasonQuarantined || e.Reason == ReasonSuspected
--- a/gateway/eventstream.go
+++ b/gateway/eventstream.go
@@ -6,8 +6,8 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrBrokenOff is the class of errors for answers that were truncated by their instance although their framing is complete.
-var ErrBrokenOff = errs.Class("gateway: broken off")
+// ErrTruncated is the class of errors for answers that were truncated by their instance although their framing is complete.
+var ErrTruncated = errs.Class("gateway: broken off")
 
 // eventScanner scans a stream of server-sent events byte by byte and tracks whether the position is between two events.
 // Lines end with LF, CR or CR LF, and an event ends with an empty line. A line that begins with a colon is a comment and
@@ -85,9 +85,9 @@
 func (s *eventScanner) truncationError(framing Framing, resumed bool) error {
 	switch {
 	case s.inEvent:
-		return ErrBrokenOff.New("stream ended inside an event")
+		return ErrTruncated.New("stream ended inside an event")
 	case framing == FramedByConnection && !s.eventEnded && !resumed:
-		return ErrBrokenOff.New("stream ended before the first event")
+		return ErrTruncated.New("stream ended before the first event")
 	}
 	return nil
 }
