--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -16,10 +16,10 @@
 	// missingModelTTL is how long an instance gets no requests for a model or
 	// adapter that it turned out to lack.
 	missingModelTTL = 300 * time.Millisecond
-	// maxWhole is the size in bytes up to which an answer is buffered whole before it is forwarded.
-	maxWhole = 1 << 20
-	// pieceSize is the size in bytes of the buffer that longer answers and streams are forwarded with.
-	pieceSize = 8 << 10
+	// maxBufferedBytes is the size in bytes up to which an answer is buffered whole before it is forwarded.
+	maxBufferedBytes = 1 << 20
+	// pieceBytes is the size in bytes of the buffer that longer answers and streams are forwarded with.
+	pieceBytes = 8 << 10
 	// maxPriority is the least urgent priority that an instance accepts.
 	maxPriority = 9
 )
@@ -37,47 +37,47 @@
 	// priority is the tenant's priority if the tenant has one, else the route's.
 	priority int
 	// use is the amount last taken from the tenant's limit, and allowedAt when it was taken; allowedAt
-	// is zero if no unused amount is left. quotaWait is the time until the tenant has quota again.
-	use       Use
-	allowedAt time.Time
-	quotaWait time.Duration
+	// is zero if no unused amount is left. quotaRetryAfter is the time until the tenant has quota again.
+	use             QuotaCharge
+	allowedAt       time.Time
+	quotaRetryAfter time.Duration
 	// slotInstance is the instance at which the request holds a slot, or nil.
 	slotInstance *fleet.Instance
-	// instanceTurnEnds is when the turn at the chosen instance expires; zero if the instance announced no limit.
+	// instanceTurnExpires is when the turn at the chosen instance expires; zero if the instance announced no limit.
 	// A turn is the right to send one request where requests are admitted one after the other.
-	instanceTurnEnds time.Time
-	// contentTurnEnds is when the turn of the request's content expires, if the content is suspected.
-	contentTurnEnds time.Time
-	// comeBack is the time until a turn may be available, or until an instance's requested backoff ends.
-	comeBack time.Duration
-	// judgedBy holds the digests that the quarantine matches, or nil until they are needed. heldFor is the digest
+	instanceTurnExpires time.Time
+	// suspectTurnExpires is when the turn of the request's content expires, if the content is suspected.
+	suspectTurnExpires time.Time
+	// retryDelay is the time until a turn may be available, or until an instance's requested backoff ends.
+	retryDelay time.Duration
+	// quarantineAttributes holds the digests that the quarantine matches, or nil until they are needed. heldFor is the digest
 	// for which the request is held; a held request is sent to no instance.
-	judgedBy *quarantine.Attributes
-	heldFor  quarantine.Digest
-	deadline time.Time
+	quarantineAttributes *quarantine.Attributes
+	holdCause            quarantine.Digest
+	deadline             time.Time
 	// firstEventDeadline is when the client is expected to disconnect if it has received nothing by then.
 	firstEventDeadline time.Time
 
-	// sentTo lists the instances that the request was sent to, by ID.
-	sentTo []string
-	// passed lists instances that could not be reached; nothing was sent to them. They may be tried again at
+	// attemptedInstances lists the instances that the request was sent to, by ID.
+	attemptedInstances []string
+	// unreachable lists instances that could not be reached; nothing was sent to them. They may be tried again at
 	// reachRetryAt, which is reachBackoff after the first of these failures.
-	passed       []string
+	unreachable  []string
 	reachBackoff time.Duration
 	reachRetryAt time.Time
 	// waitUntil is when the request stops waiting for an instance, over all its attempts.
 	waitUntil time.Time
 	// mayHaveRun is true if an instance may have run the request.
 	mayHaveRun bool
-	// begun is true if the client has received a part of an answer.
-	begun bool
+	// answerStarted is true if the client has received a part of an answer.
+	answerStarted bool
 	// awaitingFirstByte is true until the instance of the current attempt begins to answer.
 	awaitingFirstByte bool
 	phase             Phase
 	resumeAfter       string
-	origin            origin
-	pace              delivery
-	background        background
+	requiredOrigin    requiredOrigin
+	deliveryTimes     delivery
+	backgroundState   backgroundState
 	// reportedStep and reportedReason are the last wait that was reported to the observer.
 	reportedStep   Step
 	reportedReason Reason
@@ -90,58 +90,58 @@
 	startedAt time.Time
 }
 
-// verdict is the result of an attempt.
-type verdict uint8
+// attemptResult is the result of an attempt.
+type attemptResult uint8
 
 const (
-	// verdictEnded means that the client has its final answer.
-	verdictEnded verdict = iota
-	// verdictUnreached means that no byte of the request was sent.
-	verdictUnreached
-	// verdictDeclined means that the instance did not run the request.
-	verdictDeclined
-	// verdictBroken means that the instance may have run the request, and that it failed.
-	verdictBroken
+	// attemptEnded means that the client has its final answer.
+	attemptEnded attemptResult = iota
+	// attemptUnreached means that no byte of the request was sent.
+	attemptUnreached
+	// attemptDeclined means that the instance did not run the request.
+	attemptDeclined
+	// attemptBroken means that the instance may have run the request, and that it failed.
+	attemptBroken
 )
 
 // run attempts the request until the client has a final answer.
 func (e *exchange) run(ctx context.Context) {
-	defer e.leaveLine()
-	defer e.giveBackSlot()
+	defer e.leaveQueue()
+	defer e.releaseSlot()
 	e.resumeAfter = e.request.ResumeAfter
-	last := verdictUnreached
+	last := attemptUnreached
 	for {
 		candidate, reason := e.candidate(ctx)
 		if candidate == nil {
-			e.giveUp(ctx, reason)
+			e.fail(ctx, reason)
 			return
 		}
 		if reason := e.recheckAdmission(ctx); reason != "" {
-			e.giveUp(ctx, reason)
+			e.fail(ctx, reason)
 			return
 		}
 		switch e.awaitVerdict(ctx) {
 		case verdictOverdue:
-			e.giveUp(ctx, ReasonSuspected)
+			e.fail(ctx, ReasonSuspected)
 			return
 		case verdictWaited:
 			continue
 		}
 		last = e.attempt(ctx, candidate)
-		if last == verdictEnded {
+		if last == attemptEnded {
 			return
 		}
-		e.settle(ctx, last, candidate.Instance)
+		e.awaitCrashCheck(ctx, last, candidate.Instance)
 		if e.expired(ctx) {
-			e.giveUp(ctx, ReasonTimeout)
+			e.fail(ctx, ReasonTimeout)
 			return
 		}
-		if e.drained() {
-			e.giveUp(ctx, ReasonStopping)
+		if e.startBlocked() {
+			e.fail(ctx, ReasonStopping)
 			return
 		}
 		if !e.mayRetry(last) {
-			e.giveUp(ctx, reasonOf(last))
+			e.fail(ctx, reasonOf(last))
 			return
 		}
 	}
@@ -162,23 +162,23 @@
 // recheckAdmission returns why the request may no longer be sent, or an empty reason. Its key, content and quota
 // are checked again, since it may have waited since it was admitted.
 func (e *exchange) recheckAdmission(ctx context.Context) Reason {
-	if reason := e.identifyAgain(); reason != "" {
+	if reason := e.recheckKey(); reason != "" {
 		return reason
 	}
 	if e.held() {
 		return ReasonQuarantined
 	}
-	return e.allow(ctx)
+	return e.acquireAllowance(ctx)
 }
 
-func reasonOf(last verdict) Reason {
+func reasonOf(last attemptResult) Reason {
 	switch last {
-	case verdictDeclined:
+	case attemptDeclined:
 		return ReasonDeclined
-	case verdictBroken:
+	case attemptBroken:
 		return ReasonBroken
 	default:
-		return ReasonUnreached
+		return ReasonUnreachable
 	}
 }
 
@@ -187,31 +187,31 @@
 
 // mayRetry reports whether another instance may be tried. A retry of a request that was sent takes from the retry
 // budget.
-func (e *exchange) mayRetry(last verdict) bool {
-	if last == verdictUnreached {
-		return len(e.passed) < maxUnreached
+func (e *exchange) mayRetry(last attemptResult) bool {
+	if last == attemptUnreached {
+		return len(e.unreachable) < maxUnreached
 	}
-	if last == verdictBroken && !e.route.Repeatable() {
+	if last == attemptBroken && !e.route.Repeatable() {
 		return false
 	}
-	if len(e.sentTo) >= e.route.MaxAttempts {
+	if len(e.attemptedInstances) >= e.route.MaxAttempts {
 		return false
 	}
 	return e.gateway.budget.Take()
 }
 
-// giveUp ends the request with an error answer, or aborts the answer if a part of it was sent.
-func (e *exchange) giveUp(ctx context.Context, reason Reason) {
+// fail ends the request with an error answer, or aborts the answer if a part of it was sent.
+func (e *exchange) fail(ctx context.Context, reason Reason) {
 	if drain.Stopped(ctx) {
 		reason = ReasonStopping
 	}
 	if clientLeft(ctx) {
-		e.observe(Event{Step: StepEnded, Reason: ReasonClientGone})
+		e.observe(Event{Step: StepEnded, Reason: ReasonClientDisconnected})
 		e.reply.Abort()
 		return
 	}
 	switch {
-	case e.begun:
+	case e.answerStarted:
 		e.reply.Abort()
 		e.observe(Event{Step: StepBrokenOff, Reason: reason})
 	case e.mayHaveRun && (errors.Is(ctx.Err(), context.DeadlineExceeded) || !e.gateway.Now().Before(e.deadline)):
@@ -219,7 +219,7 @@
 	case e.mayHaveRun:
 		e.refuse(statusBadGateway, reason)
 	default:
-		e.refuse(statusOf(reason), reason)
+		e.refuse(refusalStatus(reason), reason)
 	}
 }
 
@@ -231,11 +231,11 @@
 	}
 	switch {
 	case reason == ReasonQuarantined:
-		retryAfter = e.heldLeft()
+		retryAfter = e.holdTimeLeft()
 	case reason == ReasonAtLimit, reason == ReasonResting, reason == ReasonSuspected:
-		retryAfter = max(e.comeBack, e.gateway.settings.RetryAfter)
+		retryAfter = max(e.retryDelay, e.gateway.settings.RetryAfter)
 	case reason == ReasonQuota:
-		retryAfter = e.gateway.shortageTracker.recordRefusal(time.Now(), tenantKeyPrefix+e.tenant.Name, e.quotaWait)
+		retryAfter = e.gateway.shortageTracker.recordRefusal(time.Now(), tenantKeyPrefix+e.tenant.Name, e.quotaRetryAfter)
 	case status == statusUnavailable:
 		retryAfter = e.gateway.retryAfter(e.request, reason)
 	}
@@ -256,54 +256,54 @@
 	event.Route = e.route
 	event.Tenant = e.tenantName()
 	event.Version = e.version
-	event.Attempt = len(e.sentTo)
+	event.Attempt = len(e.attemptedInstances)
 	event.Phase = e.phase
 	event.Forecast = e.forecast
 	event.Yielded = e.yielded()
 	if e.phase == PhaseAnswering && event.endsAnswer() {
 		event.Framing = e.framing
 	}
-	if e.judgedBy != nil {
-		event.Content = e.judgedBy.Content.String()
+	if e.quarantineAttributes != nil {
+		event.Content = e.quarantineAttributes.Content.String()
 	}
 	if event.Reason == ReasonQuarantined {
-		event.HeldFor = e.heldFor.String()
+		event.HeldFor = e.holdCause.String()
 	}
-	if !e.pace.firstAt.IsZero() {
-		event.FirstEvent = e.pace.firstAt.Sub(e.request.Arrived)
-		event.LongestPause = e.pace.longest
+	if !e.deliveryTimes.firstAt.IsZero() {
+		event.FirstEvent = e.deliveryTimes.firstAt.Sub(e.request.Arrived)
+		event.LongestPause = e.deliveryTimes.maxGap
 	}
 	e.gateway.observer.Observe(event)
 }
 
 // attempt sends the request to one instance and forwards the answer.
-func (e *exchange) attempt(ctx context.Context, candidate *balance.Candidate) verdict {
+func (e *exchange) attempt(ctx context.Context, candidate *balance.Candidate) attemptResult {
 	id := candidate.Instance.ID
 	outbound := &Outbound{
 		Request: e.request, Instance: candidate.Instance, Left: e.until(e.deadline),
 		Priority: min(e.priority, maxPriority), Tenant: e.tenantName(), ResumeAfter: e.resumeAfter, MaxConnections: e.connections(),
-		MayReach: func() bool { return e.mayReach(id) },
+		StillAllowed: func() bool { return e.stillAllowed(id) },
 	}
 	if outbound.Left <= 0 {
-		return verdictUnreached
+		return attemptUnreached
 	}
-	e.observe(Event{Step: StepSent, Instance: id, Software: candidate.Instance.Software, Load: candidate.Load, Candidates: candidate.Of, ChosenBy: candidate.By, Left: outbound.Left})
+	e.observe(Event{Step: StepSent, Instance: id, Software: candidate.Instance.Software, Load: candidate.Load, Candidates: candidate.CandidateCount, ChosenBy: candidate.By, Left: outbound.Left})
 	e.phase = PhaseAttempt
-	e.contentTurnEnds = time.Time{}
+	e.suspectTurnExpires = time.Time{}
 	e.gateway.tracker.Begin(id, e.request.PromptTokens)
-	e.leaveLine()
+	e.leaveQueue()
 	e.awaitingFirstByte, e.sentAt, e.startedAt = true, e.gateway.Now(), time.Time{}
 	response, err := e.gateway.upstream.Send(ctx, outbound)
 	if err != nil {
 		return e.failedSend(ctx, candidate.Instance, err)
 	}
-	e.sentTo = append(e.sentTo, id)
+	e.attemptedInstances = append(e.attemptedInstances, id)
 	if !response.Executed() {
 		return e.handleDeclined(id, response)
 	}
 	e.recordRun()
 	e.phase, e.framing = PhaseAnswering, response.Framing()
-	return e.pass(ctx, candidate, response)
+	return e.relay(ctx, candidate, response)
 }
 
 // recordRun records that an instance runs the request, or may have run it.
@@ -319,14 +319,14 @@
 	if service == nil || service.MaxConnections == 0 {
 		return 0
 	}
-	return max(1, int(float64(service.MaxConnections)*e.gateway.settings.ShareOfConnections()))
+	return max(1, int(float64(service.MaxConnections)*e.gateway.settings.ConnectionShare()))
 }
 
-func (e *exchange) failedSend(ctx context.Context, instance *fleet.Instance, err error) verdict {
+func (e *exchange) failedSend(ctx context.Context, instance *fleet.Instance, err error) attemptResult {
 	id := instance.ID
 	if ErrNotSent.Has(err) {
 		outcome := balance.Unreached
-		localCause := ErrNoConnection.Has(err) || ErrBarred.Has(err)
+		localCause := ErrNoConnection.Has(err) || ErrExcluded.Has(err)
 		if ctx.Err() != nil || localCause {
 			outcome = balance.Abandoned
 		}
@@ -335,37 +335,37 @@
 		}
 		e.end(id, outcome)
 		e.observe(Event{Step: StepUnreached, Instance: id, Err: err})
-		return verdictUnreached
+		return attemptUnreached
 	}
-	e.sentTo = append(e.sentTo, id)
+	e.attemptedInstances = append(e.attemptedInstances, id)
 	e.recordRun()
 	outcome := balance.Broken
 	if ctx.Err() != nil {
 		outcome = balance.Failed
 	}
-	e.brokenBy(ctx, instance)
-	e.end(id, blame(ctx, outcome))
+	e.reportBroken(ctx, instance)
+	e.end(id, attributableOutcome(ctx, outcome))
 	e.observe(Event{Step: StepAttemptFailed, Instance: id, Err: err})
-	return verdictBroken
+	return attemptBroken
 }
 
-// blame returns the outcome of an attempt that ended without a whole answer. It does not count against the
+// attributableOutcome returns the outcome of an attempt that ended without a whole answer. It does not count against the
 // instance if the client disconnected or this daemon is shutting down.
-func blame(ctx context.Context, outcome balance.Outcome) balance.Outcome {
+func attributableOutcome(ctx context.Context, outcome balance.Outcome) balance.Outcome {
 	if clientLeft(ctx) || drain.Stopped(ctx) {
 		return balance.Abandoned
 	}
 	return outcome
 }
 
-func (e *exchange) handleDeclined(id string, response Response) verdict {
+func (e *exchange) handleDeclined(id string, response Response) attemptResult {
 	misdirected := response.Misdirected()
 	status := response.Status()
 	response.Close()
 	outcome := balance.Declined
 	if misdirected {
 		outcome = balance.Abandoned
-		e.gateway.tracker.Missing(time.Now(), id, e.request.Model, e.request.Adapter, missingModelTTL)
+		e.gateway.tracker.ObserveMissing(time.Now(), id, e.request.Model, e.request.Adapter, missingModelTTL)
 	} else {
 		// The slot is not given back: the instance had less capacity than was assumed.
 		e.slotInstance = nil
@@ -375,20 +375,20 @@
 		e.reportNoRoom(id)
 	}
 	e.observe(Event{Step: StepDeclined, Instance: id, Status: status})
-	return verdictDeclined
+	return attemptDeclined
 }
 
 // recordAnswerStart records that the instance has begun to answer.
 func (e *exchange) recordAnswerStart(id string) {
 	if e.awaitingFirstByte {
 		e.awaitingFirstByte = false
-		e.gateway.tracker.Started(id, e.request.PromptTokens)
+		e.gateway.tracker.ObservePromptRead(id, e.request.PromptTokens)
 	}
 }
 
 func (e *exchange) end(id string, outcome balance.Outcome) {
 	e.recordAnswerStart(id)
-	e.giveBackSlot()
+	e.releaseSlot()
 	siblings := e.gateway.view.Load().Instances(e.service)
 	if e.gateway.tracker.End(time.Now(), id, outcome, siblings) {
 		e.observe(Event{Step: StepEjected, Instance: id})
--- a/gateway/fakes_test.go
+++ b/gateway/fakes_test.go
@@ -40,15 +40,15 @@
 	pause time.Duration
 }
 
-// crowded is a Chooser that always chooses the first instance and reports it as crowded.
-type crowded struct{}
+// crowdedChooser is a Chooser that always chooses the first instance and reports it as crowded.
+type crowdedChooser struct{}
 
-func (crowded) Choose(_ context.Context, view *fleet.View, service string, _ *balance.Request) *balance.Candidate {
-	return &balance.Candidate{Instance: view.Instances(service)[0], Available: true, Crowded: true, Of: 1}
+func (crowdedChooser) Choose(_ context.Context, view *fleet.View, service string, _ *balance.Request) *balance.Candidate {
+	return &balance.Candidate{Instance: view.Instances(service)[0], Available: true, Crowded: true, CandidateCount: 1}
 }
 
-// script is an Upstream that answers requests from a list, and then with a default answer.
-type script struct {
+// scriptedUpstream is an Upstream that answers requests from a list, and then with a default answer.
+type scriptedUpstream struct {
 	mutex   sync.Mutex
 	answers []answer
 	sent    []gateway.Outbound
@@ -58,11 +58,11 @@
 }
 
 // HasConnection implements gateway.Upstream.
-func (s *script) HasConnection(instance string, _ int) bool {
+func (s *scriptedUpstream) HasConnection(instance string, _ int) bool {
 	return !time.Now().Before(s.connectionsFreeAt[instance])
 }
 
-func (s *script) Send(ctx context.Context, outbound *gateway.Outbound) (gateway.Response, error) {
+func (s *scriptedUpstream) Send(ctx context.Context, outbound *gateway.Outbound) (gateway.Response, error) {
 	s.mutex.Lock()
 	next := answer{status: 200, body: "data: default\n\n"}
 	if len(s.answers) > 0 {
@@ -117,8 +117,8 @@
 	return count, err
 }
 
-// client is a Reply that stores what it receives.
-type client struct {
+// recordingReply is a Reply that stores what it receives.
+type recordingReply struct {
 	status     int
 	reason     gateway.Reason
 	retryAfter time.Duration
@@ -128,32 +128,32 @@
 	at         time.Time
 }
 
-func (c *client) Begin(status int, _ []gateway.Field, _ int64) error {
+func (c *recordingReply) Begin(status int, _ []gateway.Field, _ int64) error {
 	c.begun, c.status, c.at = true, status, time.Now()
 	return nil
 }
 
-func (c *client) Write(piece []byte) error {
+func (c *recordingReply) Write(piece []byte) error {
 	c.body.Write(piece)
 	return nil
 }
 
-func (c *client) Refuse(status int, reason gateway.Reason, retryAfter time.Duration) {
+func (c *recordingReply) Refuse(status int, reason gateway.Reason, retryAfter time.Duration) {
 	c.status, c.reason, c.retryAfter, c.at = status, reason, retryAfter, time.Now()
 }
 
-func (c *client) Abort() { c.aborted, c.at = true, time.Now() }
+func (c *recordingReply) Abort() { c.aborted, c.at = true, time.Now() }
 
-type noDemand struct{ wanted, refused []string }
+type recordingDemand struct{ wanted, refused []string }
 
-func (w *noDemand) Lacking(_, model, adapter string) func() {
+func (w *recordingDemand) ModelMissing(_, model, adapter string) func() {
 	w.wanted = append(w.wanted, model+"/"+adapter)
 	return func() {}
 }
-func (w *noDemand) Enter(_, _ string) func() { return func() {} }
-func (w *noDemand) Refused(_, model string)  { w.refused = append(w.refused, model) }
+func (w *recordingDemand) RequestStarted(_, _ string) func() { return func() {} }
+func (w *recordingDemand) Refused(_, model string)           { w.refused = append(w.refused, model) }
 
-type silent struct{}
+type discardObserver struct{}
 
 func configuration() *fleet.Configuration {
 	route := func(name string, kind fleet.RouteKind, attempts int, resumable bool) fleet.Route {
@@ -190,12 +190,12 @@
 }
 
 func trackedGateway(upstream gateway.Upstream, demand gateway.DemandObserver, tracker *balance.Tracker) *gateway.Gateway {
-	settings := gateway.Settings{RetryAfter: 200 * time.Millisecond, WaitShare: 0.5, ShareOfConnections: func() float64 { return 1 }}
-	return gateway.New(settings, upstream, tracker, retry.NewBudget(0.2, 10), demand, silent{})
+	settings := gateway.Settings{RetryAfter: 200 * time.Millisecond, MaxWaitShare: 0.5, ConnectionShare: func() float64 { return 1 }}
+	return gateway.New(settings, upstream, tracker, retry.NewBudget(0.2, 10), demand, discardObserver{})
 }
 
 func request(route string) *gateway.Request {
 	return &gateway.Request{ID: "r", Method: "POST", URI: "/" + route + "/x", Path: "/" + route + "/x", RouteHost: "host", Arrived: time.Now()}
 }
 
-func (*noDemand) LackingSoftware(_, _, _ string) func() { return func() {} }
+func (*recordingDemand) SoftwareMissing(_, _, _ string) func() { return func() {} }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -31,18 +31,18 @@
 	Zone string
 	// RetryAfter is the default delay after which a refused client may retry.
 	RetryAfter time.Duration
-	// WaitShare is the share of its remaining time that a request may spend
+	// MaxWaitShare is the share of its remaining time that a request may spend
 	// waiting for an instance that can take it.
-	WaitShare float64
-	// ShareOfConnections returns this daemon's share of the connections that a
+	MaxWaitShare float64
+	// ConnectionShare returns this daemon's share of the connections that a
 	// service allows to each of its instances.
-	ShareOfConnections func() float64
+	ConnectionShare func() float64
 	// ZoneCost returns the penalty of an instance in another zone; nil means no
 	// penalty. See balance.Request.
 	ZoneCost func() float64
-	// KeysSure reports whether this daemon's configuration is recent enough to decide which keys
+	// KeysCurrent reports whether this daemon's configuration is recent enough to decide which keys
 	// are valid; nil means that it always is.
-	KeysSure func(now time.Time) bool
+	KeysCurrent func(now time.Time) bool
 	// Quotas enforces the limits of tenants; nil disables them.
 	Quotas Quotas
 	// Quarantine withholds requests whose content crashes the instances that run it; nil disables
@@ -50,11 +50,11 @@
 	Quarantine Quarantine
 	// Notices holds the restrictions that instances have announced for themselves; nil means that there are none.
 	Notices Notices
-	// Origins finds the software version that began a stream. Nil means that it is not tracked, and that a stream
+	// StreamOrigins finds the software version that began a stream. Nil means that it is not tracked, and that a stream
 	// which a client resumes may continue at any instance.
-	Origins Origins
+	StreamOrigins StreamOrigins
 	// Samples receives measurements of the speed of instances; nil disables measuring.
-	Samples SampleObserver
+	Samples PaceObserver
 }
 
 func (s *Settings) zoneCost() float64 {
@@ -66,14 +66,14 @@
 
 // DemandObserver receives the demand for models and adapters, as the placement of models needs it.
 type DemandObserver interface {
-	// Lacking records that a request needs a model or adapter that no instance has loaded.
+	// ModelMissing records that a request needs a model or adapter that no instance has loaded.
 	// The caller must call the returned function when the request stops waiting.
-	Lacking(service, model, adapter string) func()
-	// LackingSoftware records that a stream needs a model at instances of a software version, none of which has it
+	ModelMissing(service, model, adapter string) func()
+	// SoftwareMissing records that a stream needs a model at instances of a software version, none of which has it
 	// loaded. The caller must call the returned function when the stream stops waiting.
-	LackingSoftware(service, model, software string) func()
-	// Enter records that a request for a model began; the returned function records its end.
-	Enter(service, model string) func()
+	SoftwareMissing(service, model, software string) func()
+	// RequestStarted records that a request for a model began; the returned function records its end.
+	RequestStarted(service, model string) func()
 	// Refused records that a request that had begun was refused for lack of capacity.
 	Refused(service, model string)
 }
@@ -93,8 +93,8 @@
 	lifetime *drain.Lifetime
 	// shortageTracker holds the models and tenants whose requests are being refused.
 	shortageTracker *shortageTracker
-	// holds queues the background requests that wait for more urgent ones.
-	holds *holdLines
+	// backgroundQueues queues the background requests that wait for more urgent ones.
+	backgroundQueues *yieldQueues
 }
 
 // New returns a gateway without a configuration. It refuses all requests until SetView is called with one.
@@ -102,7 +102,7 @@
 	g := &Gateway{
 		settings: settings, upstream: upstream, tracker: tracker, chooser: localChooser{balance.NewPicker(tracker)},
 		budget: budget, demand: demand, observer: observer, shortageTracker: newShortageTracker(), lifetime: drain.NewLifetime(),
-		holds: newHoldLines(),
+		backgroundQueues: newYieldQueues(),
 	}
 	g.view.Store(fleet.NewView(nil, nil))
 	first := make(chan struct{})
@@ -152,7 +152,7 @@
 	g.active.Add(1)
 	defer g.active.Add(-1)
 	// This check precedes the load of the snapshot: the snapshot may be newer than the check, never older.
-	sure := g.sure(request.Arrived)
+	keysCurrent := g.keysCurrent(request.Arrived)
 	view := g.view.Load()
 	if g.lifetime.Drained() {
 		g.Refuse(request, reply, statusUnavailable, ReasonStopping)
@@ -168,8 +168,8 @@
 		return
 	}
 	e := g.newExchange(view, route, request, reply)
-	if reason := e.identify(view, sure); reason != "" {
-		e.refuse(statusOf(reason), reason)
+	if reason := e.identify(view, keysCurrent); reason != "" {
+		e.refuse(refusalStatus(reason), reason)
 		return
 	}
 	if e.held() {
@@ -182,16 +182,16 @@
 	ctx, cancel := context.WithTimeout(ctx, e.until(e.deadline))
 	defer cancel()
 	if reason := e.findOrigin(ctx); reason != "" {
-		e.giveUp(ctx, reason)
+		e.fail(ctx, reason)
 		return
 	}
-	if reason := e.allow(ctx); reason != "" {
-		e.giveUp(ctx, reason)
+	if reason := e.acquireAllowance(ctx); reason != "" {
+		e.fail(ctx, reason)
 		return
 	}
-	defer e.returnAllowance()
+	defer e.refundAllowance()
 	if request.Model != "" {
-		defer g.demand.Enter(e.service, request.Model)()
+		defer g.demand.RequestStarted(e.service, request.Model)()
 	}
 	g.budget.Succeeded()
 	e.run(ctx)
@@ -200,12 +200,12 @@
 // newExchange returns the exchange for a request that matched a route.
 func (g *Gateway) newExchange(view *fleet.View, route *fleet.Route, request *Request, reply Reply) *exchange {
 	timeout := route.Timeout
-	if request.Patience > 0 {
-		timeout = min(timeout, request.Patience)
+	if request.ClientTimeout > 0 {
+		timeout = min(timeout, request.ClientTimeout)
 	}
 	return &exchange{
 		gateway: g, request: request, reply: reply, route: route, priority: route.Priority, version: view.Version(),
-		deadline: request.Arrived.Add(timeout), firstEventDeadline: request.Arrived.Add(min(timeout, route.FirstEventPatience())),
+		deadline: request.Arrived.Add(timeout), firstEventDeadline: request.Arrived.Add(min(timeout, route.FirstEventTimeout())),
 		service: chooseTarget(route),
 	}
 }
@@ -238,14 +238,14 @@
 	g.observer.Observe(g.refuse(reply, request, status, reason, retryAfter))
 }
 
-// NotRead ends a request whose body was not received: its client disconnected, or this daemon is shutting down.
-func (g *Gateway) NotRead(request *Request, reply Reply) {
+// BodyNotReceived ends a request whose body was not received: its client disconnected, or this daemon is shutting down.
+func (g *Gateway) BodyNotReceived(request *Request, reply Reply) {
 	if g.lifetime.Ended() {
 		g.Refuse(request, reply, statusUnavailable, ReasonStopping)
 		return
 	}
 	reply.Abort()
-	g.observer.Observe(Event{Step: StepEnded, Request: request, Reason: ReasonClientGone, Phase: PhaseReading, Version: g.view.Load().Version()})
+	g.observer.Observe(Event{Step: StepEnded, Request: request, Reason: ReasonClientDisconnected, Phase: PhaseReading, Version: g.view.Load().Version()})
 }
 
 // refuse sends an error answer to the client and returns the event to report to the observer.
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -13,7 +13,7 @@
 	"github.com/wheatweir/wheatweir/retry"
 )
 
-func (silent) Observe(gateway.Event) {}
+func (discardObserver) Observe(gateway.Event) {}
 
 func TestServe(t *testing.T) {
 	notSent := gateway.ErrNotSent.New("refused")
@@ -67,10 +67,10 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			upstream := &script{answers: c.answers}
-			g := newGateway(upstream, &noDemand{})
+			upstream := &scriptedUpstream{answers: c.answers}
+			g := newGateway(upstream, &recordingDemand{})
 			g.SetView(view())
-			got := &client{}
+			got := &recordingReply{}
 			g.Serve(context.Background(), request(c.route), got)
 			if got.status != c.status || got.body.String() != c.body || got.aborted != c.aborted || len(upstream.sent) != c.sent {
 				t.Fatalf("status %d body %q aborted %v after %d attempts, want %d %q %v %d",
@@ -92,18 +92,18 @@
 }
 
 func TestResumeNamesTheLastWholeEvent(t *testing.T) {
-	upstream := &script{answers: []answer{{status: 200, body: "id: 7\n\nid: 8\nda", cut: true}, {status: 200, body: "id: 8\n\n"}}}
-	g := newGateway(upstream, &noDemand{})
+	upstream := &scriptedUpstream{answers: []answer{{status: 200, body: "id: 7\n\nid: 8\nda", cut: true}, {status: 200, body: "id: 8\n\n"}}}
+	g := newGateway(upstream, &recordingDemand{})
 	g.SetView(view())
-	g.Serve(context.Background(), request("resume"), &client{})
+	g.Serve(context.Background(), request("resume"), &recordingReply{})
 	if got := upstream.sent[1].ResumeAfter; got != "7" {
 		t.Fatalf("resumed after %q", got)
 	}
 }
 
 func TestWithoutAConfigurationNothingIsDenied(t *testing.T) {
-	g := newGateway(&script{}, &noDemand{})
-	got := &client{}
+	g := newGateway(&scriptedUpstream{}, &recordingDemand{})
+	got := &recordingReply{}
 	g.Serve(context.Background(), request("unsafe"), got)
 	if got.status != 503 || got.retryAfter == 0 {
 		t.Fatalf("status %d, retry after %v", got.status, got.retryAfter)
@@ -125,12 +125,12 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				upstream := &script{answers: []answer{{hang: true}}}
-				g := newGateway(upstream, &noDemand{})
+				upstream := &scriptedUpstream{answers: []answer{{hang: true}}}
+				g := newGateway(upstream, &recordingDemand{})
 				g.SetView(view())
 				sent := request("unsafe")
-				sent.Patience = c.timeout
-				got := &client{}
+				sent.ClientTimeout = c.timeout
+				got := &recordingReply{}
 				g.Serve(context.Background(), sent, got)
 				if took := got.at.Sub(sent.Arrived); got.status != 504 || took != c.want {
 					t.Fatalf("status %d after %v, want 504 after %v", got.status, took, c.want)
@@ -145,12 +145,12 @@
 
 func TestClientThatLeavesEndsTheAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newGateway(&script{answers: []answer{{hang: true}}}, &noDemand{})
+		g := newGateway(&scriptedUpstream{answers: []answer{{hang: true}}}, &recordingDemand{})
 		g.SetView(view())
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(300*time.Millisecond, cancel)
 		sent := request("safe")
-		got := &client{}
+		got := &recordingReply{}
 		g.Serve(ctx, sent, got)
 		if took := time.Since(sent.Arrived); took != 300*time.Millisecond || !got.aborted {
 			t.Fatalf("ended after %v, aborted %v", took, got.aborted)
@@ -163,15 +163,15 @@
 func TestModelThatNobodyHas(t *testing.T) {
 	for _, loaded := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			demand := &noDemand{}
-			g := newGateway(&script{answers: []answer{{status: 200, body: "ok"}}}, demand)
+			demand := &recordingDemand{}
+			g := newGateway(&scriptedUpstream{answers: []answer{{status: 200, body: "ok"}}}, demand)
 			g.SetView(view())
 			if loaded {
 				time.AfterFunc(time.Second, func() { g.SetView(view("m")) })
 			}
 			sent := request("stream")
 			sent.Model = "m"
-			got := &client{}
+			got := &recordingReply{}
 			g.Serve(context.Background(), sent, got)
 			took := got.at.Sub(sent.Arrived)
 			if loaded && (got.status != 200 || took > 1100*time.Millisecond) {
@@ -189,15 +189,15 @@
 
 // TestRetriesKeepTheirBudget guards against retries beyond the retry budget when all instances decline.
 func TestRetriesKeepTheirBudget(t *testing.T) {
-	upstream := &script{}
+	upstream := &scriptedUpstream{}
 	for range 300 {
 		upstream.answers = append(upstream.answers, answer{status: 503, declined: true})
 	}
-	g := newGateway(upstream, &noDemand{})
+	g := newGateway(upstream, &recordingDemand{})
 	g.SetView(view())
 	const requests = 100
 	for range requests {
-		g.Serve(context.Background(), request("safe"), &client{})
+		g.Serve(context.Background(), request("safe"), &recordingReply{})
 	}
 	if extra := len(upstream.sent) - requests; extra > 10+requests/5 {
 		t.Fatalf("%d attempts beyond the first", extra)
@@ -238,10 +238,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		upstream := &pausedStream{response: response{answer: answer{status: 200}}, pieces: []string{"id: 1\n\n", "id: 2\n\n"}, pause: 400 * time.Millisecond}
 		observer := &recorder{}
-		settings := gateway.Settings{WaitShare: 0.5, ShareOfConnections: func() float64 { return 1 }}
-		served := gateway.New(settings, upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), &noDemand{}, observer)
+		settings := gateway.Settings{MaxWaitShare: 0.5, ConnectionShare: func() float64 { return 1 }}
+		served := gateway.New(settings, upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), &recordingDemand{}, observer)
 		served.SetView(view())
-		served.Serve(context.Background(), request("stream"), &client{})
+		served.Serve(context.Background(), request("stream"), &recordingReply{})
 		last := observer.events[len(observer.events)-1]
 		if last.Step != gateway.StepEnded || last.FirstEvent != 400*time.Millisecond || last.LongestPause != 400*time.Millisecond {
 			t.Errorf("%s first event after %v, longest pause %v", last.Step, last.FirstEvent, last.LongestPause)
@@ -267,11 +267,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				tracker := balance.NewTracker()
-				g := trackedGateway(&script{answers: []answer{c.answer}}, &noDemand{}, tracker)
+				g := trackedGateway(&scriptedUpstream{answers: []answer{c.answer}}, &recordingDemand{}, tracker)
 				g.SetView(view())
-				g.Serve(t.Context(), request("once"), &client{})
+				g.Serve(t.Context(), request("once"), &recordingReply{})
 				broken := 0
-				for _, load := range tracker.Own(time.Now()) {
+				for _, load := range tracker.OwnLoads(time.Now()) {
 					broken += load.Broken
 				}
 				if broken != c.broken {
--- a/gateway/identify.go
+++ b/gateway/identify.go
@@ -12,12 +12,12 @@
 // have been determined before the view was loaded.
 func (e *exchange) identify(view *fleet.View, sure bool) Reason {
 	required := view.RequiresKeys(e.route)
-	caller := view.Tenants().Of(e.request.Key)
+	caller := view.Tenants().ByKey(e.request.Key)
 	switch {
 	case !required && caller == nil:
 		return ""
 	case !sure && required:
-		return ReasonUnsure
+		return ReasonConfigurationUnsure
 	case e.request.Key == tenant.Digest{}:
 		return ReasonNoKey
 	case caller == nil:
@@ -31,20 +31,20 @@
 	return ""
 }
 
-// identifyAgain checks the key again just before the request is sent to an instance: a
+// recheckKey checks the key again just before the request is sent to an instance: a
 // newer configuration may have revoked the key while the request waited or this process
 // was suspended. A request that may already have run is not affected.
-func (e *exchange) identifyAgain() Reason {
+func (e *exchange) recheckKey() Reason {
 	if e.mayHaveRun || e.tenant == nil {
 		return ""
 	}
-	sure := e.gateway.sure(e.gateway.Now())
-	return e.identify(e.gateway.view.Load(), sure)
+	keysCurrent := e.gateway.keysCurrent(e.gateway.Now())
+	return e.identify(e.gateway.view.Load(), keysCurrent)
 }
 
-// sure reports whether the local configuration is recent enough to decide which keys are valid.
-func (g *Gateway) sure(now time.Time) bool {
-	return g.settings.KeysSure == nil || g.settings.KeysSure(now)
+// keysCurrent reports whether the local configuration is recent enough to decide which keys are valid.
+func (g *Gateway) keysCurrent(now time.Time) bool {
+	return g.settings.KeysCurrent == nil || g.settings.KeysCurrent(now)
 }
 
 // tenantName returns the name of the request's tenant, or the empty string.
@@ -55,8 +55,8 @@
 	return e.tenant.Name
 }
 
-// statusOf returns the HTTP status for rejecting a request that has not run.
-func statusOf(reason Reason) int {
+// refusalStatus returns the HTTP status for rejecting a request that has not run.
+func refusalStatus(reason Reason) int {
 	switch reason {
 	case ReasonNoKey, ReasonUnknownKey:
 		return statusUnauthorized
--- a/gateway/identify_test.go
+++ b/gateway/identify_test.go
@@ -37,25 +37,25 @@
 	return fleet.NewView(keyedConfiguration(version, keys...), view().Instances("svc"))
 }
 
-// ledger is a gateway.Quotas with a fixed answer that records the calls.
-type ledger struct {
+// recordingQuotas is a gateway.Quotas with a fixed answer that records the calls.
+type recordingQuotas struct {
 	answer   gateway.Allowance
 	taken    []float64
 	returned []float64
 }
 
-func (l *ledger) Take(_ context.Context, use gateway.Use) gateway.Allowance {
+func (l *recordingQuotas) Take(_ context.Context, use gateway.QuotaCharge) gateway.Allowance {
 	l.taken = append(l.taken, use.Cost)
 	return l.answer
 }
 
-func (l *ledger) Return(use gateway.Use) { l.returned = append(l.returned, use.Cost) }
+func (l *recordingQuotas) Refund(use gateway.QuotaCharge) { l.returned = append(l.returned, use.Cost) }
 
 func keyedGateway(upstream gateway.Upstream, sure func(time.Time) bool, quotas gateway.Quotas) *gateway.Gateway {
 	settings := gateway.Settings{
-		RetryAfter: 200 * time.Millisecond, WaitShare: 0.5, ShareOfConnections: func() float64 { return 1 }, KeysSure: sure, Quotas: quotas,
+		RetryAfter: 200 * time.Millisecond, MaxWaitShare: 0.5, ConnectionShare: func() float64 { return 1 }, KeysCurrent: sure, Quotas: quotas,
 	}
-	g := gateway.New(settings, upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), &noDemand{}, silent{})
+	g := gateway.New(settings, upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), &recordingDemand{}, discardObserver{})
 	g.SetView(keyedView(1, goodKey))
 	return g
 }
@@ -83,13 +83,13 @@
 		{name: "a public route without a key", route: "open", status: 200},
 		{name: "a public route with an unknown key", route: "open", key: "x", status: 200},
 		{name: "a public route with a key", route: "open", key: goodKey, status: 200, tenant: "acme", priority: 3},
-		{name: "an old configuration", route: "unsafe", key: goodKey, unsure: true, status: 503, reason: gateway.ReasonUnsure},
-		{name: "a key that is not in an old configuration", route: "unsafe", key: "x", unsure: true, status: 503, reason: gateway.ReasonUnsure},
+		{name: "an old configuration", route: "unsafe", key: goodKey, unsure: true, status: 503, reason: gateway.ReasonConfigurationUnsure},
+		{name: "a key that is not in an old configuration", route: "unsafe", key: "x", unsure: true, status: 503, reason: gateway.ReasonConfigurationUnsure},
 		{name: "an old configuration and a public route", route: "open", unsure: true, status: 200},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			upstream, got := &script{}, &client{}
+			upstream, got := &scriptedUpstream{}, &recordingReply{}
 			keyedGateway(upstream, func(time.Time) bool { return !c.unsure }, nil).Serve(context.Background(), keyedRequest(c.route, c.key), got)
 			if got.status != c.status || got.reason != c.reason {
 				t.Fatalf("status %d %q, want %d %q", got.status, got.reason, c.status, c.reason)
@@ -125,7 +125,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				upstream, got, sure := &script{}, &client{}, &atomic.Bool{}
+				upstream, got, sure := &scriptedUpstream{}, &recordingReply{}, &atomic.Bool{}
 				sure.Store(true)
 				g := keyedGateway(upstream, func(time.Time) bool { return sure.Load() }, nil)
 				sent := keyedRequest("stream", goodKey)
@@ -146,7 +146,7 @@
 }
 
 // serveAsync starts to serve a request and returns a channel that is closed at its end.
-func serveAsync(g *gateway.Gateway, sent *gateway.Request, got *client) <-chan struct{} {
+func serveAsync(g *gateway.Gateway, sent *gateway.Request, got *recordingReply) <-chan struct{} {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -185,12 +185,12 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			quotas, got := &ledger{answer: c.answer}, &client{}
+			quotas, got := &recordingQuotas{answer: c.answer}, &recordingReply{}
 			sent := keyedRequest("once", goodKey)
 			if c.tokens {
-				sent.PromptTokens, sent.OutputTokens, sent.TokensTold = 100, 10, true
+				sent.PromptTokens, sent.OutputTokens, sent.TokensDeclared = 100, 10, true
 			}
-			keyedGateway(&script{answers: c.answers}, nil, quotas).Serve(context.Background(), sent, got)
+			keyedGateway(&scriptedUpstream{answers: c.answers}, nil, quotas).Serve(context.Background(), sent, got)
 			if got.status != c.status || !slices.Equal(quotas.taken, c.taken) || !slices.Equal(quotas.returned, c.returned) {
 				t.Errorf("status %d, taken %v, returned %v, want %d %v %v", got.status, quotas.taken, quotas.returned, c.status, c.taken, c.returned)
 			}
@@ -203,8 +203,8 @@
 
 // TestEachRunIsPaidFor guards against a second run of a request that is not charged to the limit.
 func TestEachRunIsPaidFor(t *testing.T) {
-	quotas, got := &ledger{answer: gateway.Allowance{Granted: true}}, &client{}
-	upstream := &script{answers: []answer{{status: 500}, {status: 200, body: "ok"}}}
+	quotas, got := &recordingQuotas{answer: gateway.Allowance{Granted: true}}, &recordingReply{}
+	upstream := &scriptedUpstream{answers: []answer{{status: 500}, {status: 200, body: "ok"}}}
 	keyedGateway(upstream, nil, quotas).Serve(context.Background(), keyedRequest("safe", goodKey), got)
 	if got.status != 200 || !slices.Equal(quotas.taken, []float64{7, 7}) || len(quotas.returned) > 0 {
 		t.Errorf("status %d, taken %v, returned %v", got.status, quotas.taken, quotas.returned)
@@ -215,8 +215,8 @@
 // waiting requests could otherwise run together, in addition to those allowed in the meantime.
 func TestOldAllowanceIsTakenAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		quotas, got := &ledger{answer: gateway.Allowance{Granted: true}}, &client{}
-		g := keyedGateway(&script{}, nil, quotas)
+		quotas, got := &recordingQuotas{answer: gateway.Allowance{Granted: true}}, &recordingReply{}
+		g := keyedGateway(&scriptedUpstream{}, nil, quotas)
 		sent := keyedRequest("stream", goodKey)
 		sent.Model = "m"
 		ended := serveAsync(g, sent, got)
--- a/gateway/idletimeout.go
+++ b/gateway/idletimeout.go
@@ -11,9 +11,9 @@
 	idleTimeoutShare = 0.6
 )
 
-// RestTime returns how long a connection to an instance may be idle before its next request.
+// MaxIdleTime returns how long a connection to an instance may be idle before its next request.
 // Limit is the idle timeout of the instance, if it announced one.
-func RestTime(limit time.Duration, announced bool) time.Duration {
+func MaxIdleTime(limit time.Duration, announced bool) time.Duration {
 	if !announced {
 		return defaultIdleTimeout
 	}
--- a/gateway/idletimeout_test.go
+++ b/gateway/idletimeout_test.go
@@ -11,11 +11,11 @@
 // It covers announced idle timeouts and the default.
 func TestRestTimeEndsBeforeTheInstanceCloses(t *testing.T) {
 	for _, limit := range []time.Duration{0, time.Second, time.Minute} {
-		if rest := gateway.RestTime(limit, true); rest > limit*3/4 {
+		if rest := gateway.MaxIdleTime(limit, true); rest > limit*3/4 {
 			t.Errorf("instance timeout %v, idle time %v", limit, rest)
 		}
 	}
-	if rest := gateway.RestTime(0, false); rest <= 0 || rest > 10*time.Second {
+	if rest := gateway.MaxIdleTime(0, false); rest <= 0 || rest > 10*time.Second {
 		t.Errorf("default idle time %v", rest)
 	}
 }
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -15,7 +15,7 @@
 
 // fakeNotices is a gateway.Notices with fixed announcements of the instances.
 type fakeNotices struct {
-	bars []gateway.Bar
+	bars []gateway.Exclusion
 	// turns are the results of Admit by instance; an instance that is not in it has no limit.
 	turns map[string]gateway.Turn
 	// admitCalls are the instances with a limit for which Admit was called.
@@ -30,12 +30,12 @@
 	barsFrom time.Time
 }
 
-func (n *fakeNotices) Bars() []gateway.Bar {
+func (n *fakeNotices) Exclusions() []gateway.Exclusion {
 	now := time.Now()
 	if now.Before(n.barsFrom) {
 		return nil
 	}
-	var bars []gateway.Bar
+	var bars []gateway.Exclusion
 	for _, bar := range n.bars {
 		if bar.Until.After(now) {
 			bars = append(bars, bar)
@@ -44,8 +44,8 @@
 	return bars
 }
 
-func (n *fakeNotices) Barred(instance string) bool {
-	return slices.ContainsFunc(n.Bars(), func(bar gateway.Bar) bool {
+func (n *fakeNotices) Excluded(instance string) bool {
+	return slices.ContainsFunc(n.Exclusions(), func(bar gateway.Exclusion) bool {
 		return bar.Instance == instance && bar.Reason != gateway.ReasonAtLimit
 	})
 }
@@ -54,7 +54,7 @@
 	return !slices.Contains(n.full, instance.ID)
 }
 
-func (n *fakeNotices) TakeSlot(_ context.Context, instance *fleet.Instance, _ int) gateway.Slot {
+func (n *fakeNotices) AcquireSlot(_ context.Context, instance *fleet.Instance, _ int) gateway.Slot {
 	left, counted := n.slots[instance.ID]
 	switch {
 	case !counted:
@@ -66,13 +66,13 @@
 	return gateway.SlotTaken
 }
 
-func (n *fakeNotices) GiveBackSlot(instance *fleet.Instance) { n.slots[instance.ID]++ }
+func (n *fakeNotices) ReleaseSlot(instance *fleet.Instance) { n.slots[instance.ID]++ }
 
-func (n *fakeNotices) TurnedAway(instance *fleet.Instance) {
+func (n *fakeNotices) RecordRefusal(instance *fleet.Instance) {
 	n.rejectedBy = append(n.rejectedBy, instance.ID)
 }
 
-func (n *fakeNotices) Admit(_ context.Context, instance string, within time.Duration) gateway.Turn {
+func (n *fakeNotices) AcquireTurn(_ context.Context, instance string, within time.Duration) gateway.Turn {
 	turn, limited := n.turns[instance]
 	if !limited {
 		return gateway.Turn{Granted: true}
@@ -83,14 +83,14 @@
 	return turn
 }
 
-// serveUnder serves one request with the given announcements of the instances.
-func serveUnder(notices *fakeNotices, upstream gateway.Upstream, sent *gateway.Request) *client {
+// serveWithNotices serves one request with the given announcements of the instances.
+func serveWithNotices(notices *fakeNotices, upstream gateway.Upstream, sent *gateway.Request) *recordingReply {
 	settings := gateway.Settings{
-		RetryAfter: 200 * time.Millisecond, WaitShare: 0.5, ShareOfConnections: func() float64 { return 1 }, Notices: notices,
+		RetryAfter: 200 * time.Millisecond, MaxWaitShare: 0.5, ConnectionShare: func() float64 { return 1 }, Notices: notices,
 	}
-	g := gateway.New(settings, upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), &noDemand{}, silent{})
+	g := gateway.New(settings, upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), &recordingDemand{}, discardObserver{})
 	g.SetView(view())
-	reply := &client{}
+	reply := &recordingReply{}
 	g.Serve(context.Background(), sent, reply)
 	return reply
 }
@@ -124,10 +124,10 @@
 					notices.turns[instance] = gateway.Turn{Wait: wait}
 				}
 				for _, instance := range c.atLimit {
-					notices.bars = append(notices.bars, gateway.Bar{Instance: instance, Reason: gateway.ReasonAtLimit, Until: time.Now().Add(late)})
+					notices.bars = append(notices.bars, gateway.Exclusion{Instance: instance, Reason: gateway.ReasonAtLimit, Until: time.Now().Add(late)})
 				}
-				upstream, began := &script{}, time.Now()
-				reply := serveUnder(notices, upstream, request("unsafe"))
+				upstream, began := &scriptedUpstream{}, time.Now()
+				reply := serveWithNotices(notices, upstream, request("unsafe"))
 				if reply.status != c.status || reply.retryAfter != c.retryAfter || reply.at.Sub(began) != c.took {
 					t.Errorf("status %d after %v, retry after %v", reply.status, reply.at.Sub(began), reply.retryAfter)
 				}
@@ -151,7 +151,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		notices := &fakeNotices{turns: map[string]gateway.Turn{"i1": {}, "i2": {}, "i3": {}}}
 		upstream := &slowConnections{took: 600 * time.Millisecond, slow: 1}
-		reply := serveUnder(notices, upstream, request("unsafe"))
+		reply := serveWithNotices(notices, upstream, request("unsafe"))
 		if reply.status != 200 || upstream.barred != 1 {
 			t.Errorf("status %d, %d sends were prevented", reply.status, upstream.barred)
 		}
@@ -160,7 +160,7 @@
 
 // slowConnections is a gateway.Upstream whose first connections, as many as slow says, take the time took.
 type slowConnections struct {
-	script
+	scriptedUpstream
 	took   time.Duration
 	slow   int
 	barred int
@@ -171,11 +171,11 @@
 		s.slow--
 		time.Sleep(s.took)
 	}
-	if !outbound.MayReach() {
+	if !outbound.StillAllowed() {
 		s.barred++
-		return nil, gateway.ErrNotSent.Wrap(gateway.ErrBarred.New("%s", outbound.Instance.ID))
+		return nil, gateway.ErrNotSent.Wrap(gateway.ErrExcluded.New("%s", outbound.Instance.ID))
 	}
-	return s.script.Send(ctx, outbound)
+	return s.scriptedUpstream.Send(ctx, outbound)
 }
 
 // TestRestingInstances covers requests for three instances of which some are resting, that is, have asked for no requests
@@ -201,10 +201,10 @@
 				began := time.Now()
 				notices := &fakeNotices{}
 				for instance, rest := range c.rests {
-					notices.bars = append(notices.bars, gateway.Bar{Instance: instance, Reason: gateway.ReasonResting, Until: began.Add(rest)})
+					notices.bars = append(notices.bars, gateway.Exclusion{Instance: instance, Reason: gateway.ReasonResting, Until: began.Add(rest)})
 				}
-				upstream := &script{}
-				reply := serveUnder(notices, upstream, request("unsafe"))
+				upstream := &scriptedUpstream{}
+				reply := serveWithNotices(notices, upstream, request("unsafe"))
 				took := reply.at.Sub(began)
 				if reply.status != c.status || reply.retryAfter != c.retryAfter || took < c.earliest || took > c.latest {
 					t.Errorf("status %d after %v, retry after %v", reply.status, took, reply.retryAfter)
@@ -224,9 +224,9 @@
 		notices := &fakeNotices{barsFrom: time.Now().Add(100 * time.Millisecond)}
 		upstream := &slowConnections{took: 200 * time.Millisecond, slow: 1}
 		for _, instance := range []string{"i1", "i2", "i3"} {
-			notices.bars = append(notices.bars, gateway.Bar{Instance: instance, Reason: gateway.ReasonResting, Until: time.Now().Add(time.Minute)})
+			notices.bars = append(notices.bars, gateway.Exclusion{Instance: instance, Reason: gateway.ReasonResting, Until: time.Now().Add(time.Minute)})
 		}
-		reply := serveUnder(notices, upstream, request("unsafe"))
+		reply := serveWithNotices(notices, upstream, request("unsafe"))
 		if reply.status != 503 || reply.reason != gateway.ReasonResting || len(upstream.sent) > 0 {
 			t.Errorf("status %d as %q after %d sends", reply.status, reply.reason, len(upstream.sent))
 		}
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -15,7 +15,7 @@
 func busyTracker(requests int) *balance.Tracker {
 	tracker := balance.NewTracker()
 	for range 20 {
-		tracker.Run(&balance.Candidate{Instance: &fleet.Instance{ID: "i1", Service: "svc", Slots: 4}}, time.Second)
+		tracker.ObserveRun(&balance.Candidate{Instance: &fleet.Instance{ID: "i1", Service: "svc", Slots: 4}}, time.Second)
 	}
 	tracker.SetPeer(time.Now(), "peer", map[string]balance.Load{"i1": {Requests: requests}})
 	return tracker
@@ -51,12 +51,12 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				upstream := &script{answers: []answer{{status: 200, body: "id: 1\n\n"}}}
-				g := trackedGateway(upstream, &noDemand{}, busyTracker(c.requests))
+				upstream := &scriptedUpstream{answers: []answer{{status: 200, body: "id: 1\n\n"}}}
+				g := trackedGateway(upstream, &recordingDemand{}, busyTracker(c.requests))
 				g.SetView(oneInstance(0))
 				sent := request("stream")
 				sent.Model, sent.ResumeAfter, sent.Arrived = "m", c.resumes, time.Now().Add(-c.waited)
-				got, begun := &client{}, time.Now()
+				got, begun := &recordingReply{}, time.Now()
 				g.Serve(context.Background(), sent, got)
 				if served := got.status == 200; served != c.served {
 					t.Fatalf("status %d (%s), want served %v", got.status, got.reason, c.served)
@@ -74,12 +74,12 @@
 func TestPatientRequestsWaitHereWhileABatchIsFull(t *testing.T) {
 	for priority, want := range map[int]time.Duration{0: 0, 1: 300 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			upstream := &script{answers: []answer{{status: 200, body: "id: 1\n\n"}}}
-			g := trackedGateway(upstream, &noDemand{}, busyTracker(4))
+			upstream := &scriptedUpstream{answers: []answer{{status: 200, body: "id: 1\n\n"}}}
+			g := trackedGateway(upstream, &recordingDemand{}, busyTracker(4))
 			g.SetView(oneInstance(priority))
 			sent := request("stream")
 			sent.Model = "m"
-			got := &client{}
+			got := &recordingReply{}
 			g.Serve(context.Background(), sent, got)
 			took := got.at.Sub(sent.Arrived)
 			if got.status != 200 || took < want || took > want+50*time.Millisecond {
@@ -109,12 +109,12 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				demand := &noDemand{}
-				g := trackedGateway(&script{answers: []answer{c.answer, c.answer}}, demand, busyTracker(c.queued))
+				demand := &recordingDemand{}
+				g := trackedGateway(&scriptedUpstream{answers: []answer{c.answer, c.answer}}, demand, busyTracker(c.queued))
 				g.SetView(c.view)
 				sent := request("stream")
 				sent.Model = c.model
-				got := &client{}
+				got := &recordingReply{}
 				g.Serve(context.Background(), sent, got)
 				if counts := len(demand.refused) > 0; counts != c.counts || len(demand.refused) > 1 {
 					t.Errorf("status %d (%s), refusals %v", got.status, got.reason, demand.refused)
--- a/gateway/phase_test.go
+++ b/gateway/phase_test.go
@@ -13,8 +13,8 @@
 )
 
 func observedGateway(upstream gateway.Upstream, observer gateway.Observer) *gateway.Gateway {
-	settings := gateway.Settings{RetryAfter: 200 * time.Millisecond, WaitShare: 0.5, ShareOfConnections: func() float64 { return 1 }}
-	return gateway.New(settings, upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), &noDemand{}, observer)
+	settings := gateway.Settings{RetryAfter: 200 * time.Millisecond, MaxWaitShare: 0.5, ConnectionShare: func() float64 { return 1 }}
+	return gateway.New(settings, upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), &recordingDemand{}, observer)
 }
 
 // TestLogTellsWhoEndedARequestAndWhere ends requests in two phases, by their client and by the daemon. It guards
@@ -27,16 +27,16 @@
 		reason gateway.Reason
 		phase  gateway.Phase
 	}{
-		{"the client leaves while it waits for a model", "absent", context.Canceled, gateway.ReasonClientGone, gateway.PhaseWaiting},
+		{"the client leaves while it waits for a model", "absent", context.Canceled, gateway.ReasonClientDisconnected, gateway.PhaseWaiting},
 		{"the daemon ends while it waits for a model", "absent", drain.ErrStopped.New("test"), gateway.ReasonStopping, gateway.PhaseWaiting},
-		{"the client leaves before an instance answers", "m", context.Canceled, gateway.ReasonClientGone, gateway.PhaseAttempt},
+		{"the client leaves before an instance answers", "m", context.Canceled, gateway.ReasonClientDisconnected, gateway.PhaseAttempt},
 		{"the daemon ends before an instance answers", "m", drain.ErrStopped.New("test"), gateway.ReasonStopping, gateway.PhaseAttempt},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				observer := &recorder{}
-				g := observedGateway(&script{answers: []answer{{hang: true}}}, observer)
+				g := observedGateway(&scriptedUpstream{answers: []answer{{hang: true}}}, observer)
 				g.SetView(view("m"))
 				ctx, cancel := context.WithCancelCause(context.Background())
 				// Not at a time at which a waiting request checks again.
@@ -44,7 +44,7 @@
 				began := time.Now()
 				sent := request("stream")
 				sent.Model = c.model
-				g.Serve(ctx, sent, &client{})
+				g.Serve(ctx, sent, &recordingReply{})
 				if got := observer.events[len(observer.events)-1]; got.Reason != c.reason || got.Phase != c.phase {
 					t.Errorf("reason %q in phase %q, want %q in %q", got.Reason, got.Phase, c.reason, c.phase)
 				}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -14,48 +14,48 @@
 // them. Such contents and parts are held: for a time, no request with them is sent to an instance. Only SuspectTurn and
 // Settled block.
 type Quarantine interface {
-	// Suspects reports whether any content or part is suspected. While none is, which is nearly always,
+	// HasSuspects reports whether any content or part is suspected. While none is, which is nearly always,
 	// requests need no digest.
-	Suspects() bool
+	HasSuspects() bool
 	Digest(content *quarantine.Content) quarantine.Digest
 	// PartDigest returns the digest of the shared prompt part with this ID.
 	PartDigest(id string) quarantine.Digest
 	// HeldUntil returns the time until which the request may not be sent to an instance, and the content or part that is
 	// the cause. The time is zero if the request is not held.
 	HeldUntil(request *quarantine.Attributes) (until time.Time, cause quarantine.Digest)
-	// SuspectTurn acquires the right to run a request now whose content, or one of whose parts, was running when an
+	// AcquireSuspectTurn acquires the right to run a request now whose content, or one of whose parts, was running when an
 	// instance crashed. Such requests run one after the other in the whole fleet: the next one starts only after the time
 	// that a verdict on the previous one takes. A request without a suspected content or part always gets the turn.
-	SuspectTurn(ctx context.Context, request *quarantine.Attributes) Turn
-	// Broke records that an instance closed the connection of a request that it ran. Whether the instance
+	AcquireSuspectTurn(ctx context.Context, request *quarantine.Attributes) Turn
+	// RecordBroken records that an instance closed the connection of a request that it ran. Whether the instance
 	// crashed is determined afterwards.
-	Broke(instance *fleet.Instance, victim quarantine.Victim)
-	// Settled waits for a short time until the check whether the instance crashed is done. Without this wait, the next
+	RecordBroken(instance *fleet.Instance, victim quarantine.InterruptedRequest)
+	// AwaitCrashCheck waits for a short time until the check whether the instance crashed is done. Without this wait, the next
 	// attempt would start before the result of the failed one is known.
-	Settled(ctx context.Context, instance *fleet.Instance)
-	// Served records that a request was answered successfully. Answered records that the instance served a request
+	AwaitCrashCheck(ctx context.Context, instance *fleet.Instance)
+	// RecordSuccess records that a request was answered successfully. Answered records that the instance served a request
 	// that was sent at the time began.
-	Served(request *quarantine.Attributes)
-	Answered(instance string, began time.Time)
-	// Sound records that a request with this prompt was answered successfully. It is called for every such request, also
+	RecordSuccess(request *quarantine.Attributes)
+	RecordAnswer(instance string, began time.Time)
+	// RecordHarmlessPrompt records that a request with this prompt was answered successfully. It is called for every such request, also
 	// while nothing is suspected.
-	Sound(prompt []PromptPart)
+	RecordHarmlessPrompt(prompt []PromptPart)
 }
 
 // attributes returns the digests of the request's content and shared prompt parts, by which the quarantine matches it.
 // They are computed once.
 func (e *exchange) attributes() *quarantine.Attributes {
-	if e.judgedBy == nil {
+	if e.quarantineAttributes == nil {
 		request := e.request
 		tracker := e.gateway.settings.Quarantine
-		e.judgedBy = &quarantine.Attributes{Content: tracker.Digest(&quarantine.Content{
+		e.quarantineAttributes = &quarantine.Attributes{Content: tracker.Digest(&quarantine.Content{
 			Caller: request.Key, Method: request.Method, Host: request.RouteHost, URI: request.URI, Body: request.Body,
 		})}
 		for _, part := range sharedParts(request.Prompt) {
-			e.judgedBy.Parts = append(e.judgedBy.Parts, quarantine.Part{ID: part.ID, Digest: tracker.PartDigest(part.ID)})
+			e.quarantineAttributes.Parts = append(e.quarantineAttributes.Parts, quarantine.Part{ID: part.ID, Digest: tracker.PartDigest(part.ID)})
 		}
 	}
-	return e.judgedBy
+	return e.quarantineAttributes
 }
 
 // maxSharedParts is the maximum number of parts of a prompt that the quarantine checks.
@@ -68,7 +68,7 @@
 
 // suspected reports whether any content or part is suspected at all, so that this request has to be checked.
 func (e *exchange) suspected() bool {
-	return e.gateway.settings.Quarantine != nil && e.gateway.settings.Quarantine.Suspects()
+	return e.gateway.settings.Quarantine != nil && e.gateway.settings.Quarantine.HasSuspects()
 }
 
 // held reports whether the request must not be sent to an instance. It is checked when the request
@@ -78,7 +78,7 @@
 		return false
 	}
 	until, cause := e.gateway.settings.Quarantine.HeldUntil(e.attributes())
-	e.heldFor = cause
+	e.holdCause = cause
 	return !until.IsZero()
 }
 
@@ -102,20 +102,20 @@
 // awaitVerdict waits until the request may run if its content, or one of its parts, is suspected of crashing instances.
 func (e *exchange) awaitVerdict(ctx context.Context) verdictWait {
 	outcome := verdictImmediate
-	for e.suspected() && !e.gateway.Now().Before(e.contentTurnEnds) {
+	for e.suspected() && !e.gateway.Now().Before(e.suspectTurnExpires) {
 		if e.held() {
 			return verdictWaited
 		}
-		turn := e.gateway.settings.Quarantine.SuspectTurn(ctx, e.attributes())
+		turn := e.gateway.settings.Quarantine.AcquireSuspectTurn(ctx, e.attributes())
 		if turn.Granted {
-			e.contentTurnEnds = e.gateway.Now().Add(quota.AllowanceSpan)
+			e.suspectTurnExpires = e.gateway.Now().Add(quota.GrantTTL)
 			break
 		}
-		e.comeBack = turn.Wait
+		e.retryDelay = turn.Wait
 		if ctx.Err() != nil || turn.Wait > e.until(e.waitUntil) {
 			return verdictOverdue
 		}
-		e.leaveLine()
+		e.leaveQueue()
 		e.phase = PhaseWaiting
 		e.observeOnce(StepWaiting, ReasonSuspected)
 		sleep(ctx, verdictPollInterval)
@@ -124,40 +124,40 @@
 	return outcome
 }
 
-// heldLeft returns the time for which the request is still held.
-func (e *exchange) heldLeft() time.Duration {
+// holdTimeLeft returns the time for which the request is still held.
+func (e *exchange) holdTimeLeft() time.Duration {
 	until, _ := e.gateway.settings.Quarantine.HeldUntil(e.attributes())
 	return max(0, e.until(until))
 }
 
-// brokenBy reports to the quarantine that the instance closed the request's connection, unless the client or this daemon
+// reportBroken reports to the quarantine that the instance closed the request's connection, unless the client or this daemon
 // closed it.
-func (e *exchange) brokenBy(ctx context.Context, instance *fleet.Instance) {
-	if e.gateway.settings.Quarantine == nil || ctx.Err() != nil || blame(ctx, balance.Broken) != balance.Broken {
+func (e *exchange) reportBroken(ctx context.Context, instance *fleet.Instance) {
+	if e.gateway.settings.Quarantine == nil || ctx.Err() != nil || attributableOutcome(ctx, balance.Broken) != balance.Broken {
 		return
 	}
-	e.gateway.settings.Quarantine.Broke(instance, quarantine.Victim{
+	e.gateway.settings.Quarantine.RecordBroken(instance, quarantine.InterruptedRequest{
 		Content: e.attributes().Content, Parts: e.attributes().Parts, Began: e.sentAt,
 	})
 }
 
-// settle waits after an attempt whose connection broke, if another attempt is allowed, for the check whether the
+// awaitCrashCheck waits after an attempt whose connection broke, if another attempt is allowed, for the check whether the
 // instance crashed.
-func (e *exchange) settle(ctx context.Context, last verdict, instance *fleet.Instance) {
-	if last == verdictBroken && e.route.Repeatable() && e.gateway.settings.Quarantine != nil {
-		e.gateway.settings.Quarantine.Settled(ctx, instance)
+func (e *exchange) awaitCrashCheck(ctx context.Context, last attemptResult, instance *fleet.Instance) {
+	if last == attemptBroken && e.route.Repeatable() && e.gateway.settings.Quarantine != nil {
+		e.gateway.settings.Quarantine.AwaitCrashCheck(ctx, instance)
 	}
 }
 
-// endedWell reports to the quarantine that the instance completed the request, so its content and parts are harmless.
-func (e *exchange) endedWell(instance string) {
+// reportSuccess reports to the quarantine that the instance completed the request, so its content and parts are harmless.
+func (e *exchange) reportSuccess(instance string) {
 	tracker := e.gateway.settings.Quarantine
 	if tracker == nil {
 		return
 	}
-	tracker.Answered(instance, e.sentAt)
+	tracker.RecordAnswer(instance, e.sentAt)
 	if e.clearsSharedParts() {
-		tracker.Sound(e.request.Prompt)
+		tracker.RecordHarmlessPrompt(e.request.Prompt)
 	}
 	if !e.suspected() {
 		return
@@ -166,7 +166,7 @@
 	if !e.clearsSharedParts() {
 		served.Parts = nil
 	}
-	tracker.Served(&served)
+	tracker.RecordSuccess(&served)
 }
 
 // minHarmlessDuration is the minimum time for which an answer has to continue to show that the instance did not crash
@@ -180,5 +180,5 @@
 	if len(e.request.Prompt) < 2 {
 		return false
 	}
-	return e.framing != FramedByConnection || !e.pace.firstAt.IsZero() && e.since(e.pace.firstAt) >= minHarmlessDuration
+	return e.framing != FramedByConnection || !e.deliveryTimes.firstAt.IsZero() && e.since(e.deliveryTimes.firstAt) >= minHarmlessDuration
 }
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -20,7 +20,7 @@
 	heldFrom time.Time
 	// holdAfter is the number of broken runs after which the content is held.
 	holdAfter int
-	broke     []quarantine.Victim
+	broke     []quarantine.InterruptedRequest
 	settled   int
 	served    int
 	digests   int
@@ -37,7 +37,7 @@
 
 const heldFor = 10 * time.Minute
 
-func (q *fakeQuarantine) Suspects() bool {
+func (q *fakeQuarantine) HasSuspects() bool {
 	return q.suspects && (q.clearedAt.IsZero() || time.Now().Before(q.clearedAt))
 }
 
@@ -57,7 +57,7 @@
 	return q.heldFrom.Add(heldFor), request.Content
 }
 
-func (q *fakeQuarantine) SuspectTurn(context.Context, *quarantine.Attributes) gateway.Turn {
+func (q *fakeQuarantine) AcquireSuspectTurn(context.Context, *quarantine.Attributes) gateway.Turn {
 	wait := max(0, time.Until(q.turnAt))
 	if wait == 0 {
 		q.turns++
@@ -65,7 +65,7 @@
 	return gateway.Turn{Granted: wait == 0, Limited: true, Wait: wait}
 }
 
-func (q *fakeQuarantine) Broke(_ *fleet.Instance, victim quarantine.Victim) {
+func (q *fakeQuarantine) RecordBroken(_ *fleet.Instance, victim quarantine.InterruptedRequest) {
 	q.suspects = true
 	q.broke = append(q.broke, victim)
 	if len(q.broke) == q.holdAfter {
@@ -73,29 +73,31 @@
 	}
 }
 
-func (q *fakeQuarantine) Settled(context.Context, *fleet.Instance) { q.settled++ }
-func (q *fakeQuarantine) Served(request *quarantine.Attributes) {
+func (q *fakeQuarantine) AwaitCrashCheck(context.Context, *fleet.Instance) { q.settled++ }
+func (q *fakeQuarantine) RecordSuccess(request *quarantine.Attributes) {
 	q.served++
 	q.servedParts = request.Parts
 }
-func (q *fakeQuarantine) Sound(prompt []gateway.PromptPart) { q.harmless = append(q.harmless, prompt) }
-func (q *fakeQuarantine) Answered(string, time.Time)        {}
+func (q *fakeQuarantine) RecordHarmlessPrompt(prompt []gateway.PromptPart) {
+	q.harmless = append(q.harmless, prompt)
+}
+func (q *fakeQuarantine) RecordAnswer(string, time.Time) {}
 
 // serveQuarantined serves one request with the given quarantine.
-func serveQuarantined(upstream gateway.Upstream, held *fakeQuarantine, sent *gateway.Request, view *fleet.View) *client {
+func serveQuarantined(upstream gateway.Upstream, held *fakeQuarantine, sent *gateway.Request, view *fleet.View) *recordingReply {
 	settings := gateway.Settings{
-		RetryAfter: 200 * time.Millisecond, WaitShare: 0.5, ShareOfConnections: func() float64 { return 1 }, Quarantine: held,
+		RetryAfter: 200 * time.Millisecond, MaxWaitShare: 0.5, ConnectionShare: func() float64 { return 1 }, Quarantine: held,
 	}
-	g := gateway.New(settings, upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), &noDemand{}, silent{})
+	g := gateway.New(settings, upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), &recordingDemand{}, discardObserver{})
 	g.SetView(view)
-	reply := &client{}
+	reply := &recordingReply{}
 	g.Serve(context.Background(), sent, reply)
 	return reply
 }
 
 func TestHeldRequestIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		upstream := &script{}
+		upstream := &scriptedUpstream{}
 		reply := serveQuarantined(upstream, &fakeQuarantine{suspects: true, heldFrom: time.Now()}, request("safe"), view())
 		if reply.status != 503 || reply.reason != gateway.ReasonQuarantined || reply.retryAfter != heldFor {
 			t.Errorf("status %d, reason %q, retry after %v", reply.status, reply.reason, reply.retryAfter)
@@ -110,7 +112,7 @@
 // quarantine. It waits because no instance has its model.
 func TestRequestThatWaitsIsRefusedOnceItIsHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		upstream := &script{}
+		upstream := &scriptedUpstream{}
 		sent := request("stream")
 		sent.Model = "nowhere"
 		began := time.Now()
@@ -126,7 +128,7 @@
 // The status is 502 then, since the first attempt may have run.
 func TestNoAttemptFollowsTheOneThatHoldsARequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		upstream := &script{answers: []answer{{err: gateway.ErrUnknown.New("reset")}, {status: 200, body: "late"}}}
+		upstream := &scriptedUpstream{answers: []answer{{err: gateway.ErrUnknown.New("reset")}, {status: 200, body: "late"}}}
 		held := &fakeQuarantine{holdAfter: 1}
 		reply := serveQuarantined(upstream, held, request("safe"), view())
 		if reply.status != 502 || len(upstream.sent) != 1 || held.settled != 1 {
@@ -157,7 +159,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				held := &fakeQuarantine{}
 				began := time.Now()
-				serveQuarantined(&script{answers: c.answers}, held, request(c.route), view())
+				serveQuarantined(&scriptedUpstream{answers: c.answers}, held, request(c.route), view())
 				if len(held.broke) != c.broke || held.served != c.served {
 					t.Errorf("%d broken and %d successful runs are reported, want %d and %d", len(held.broke), held.served, c.broke, c.served)
 				}
@@ -173,7 +175,7 @@
 func TestNothingIsDigestedWithoutSuspicion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		held := &fakeQuarantine{}
-		if reply := serveQuarantined(&script{}, held, request("safe"), view()); reply.status != 200 || held.digests > 0 {
+		if reply := serveQuarantined(&scriptedUpstream{}, held, request("safe"), view()); reply.status != 200 || held.digests > 0 {
 			t.Errorf("status %d, %d digests", reply.status, held.digests)
 		}
 	})
@@ -209,7 +211,7 @@
 				if c.clearIn > 0 {
 					suspect.clearedAt = began.Add(c.clearIn)
 				}
-				upstream := &script{}
+				upstream := &scriptedUpstream{}
 				reply := serveQuarantined(upstream, suspect, request("unsafe"), view())
 				late := reply.at.Sub(began) - c.took
 				if reply.status != c.status || reply.reason != c.reason || late < 0 || late > 100*time.Millisecond {
@@ -228,7 +230,7 @@
 func TestEachAttemptOfASuspectNeedsATurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		suspect := &fakeQuarantine{suspects: true}
-		upstream := &script{answers: []answer{{err: gateway.ErrUnknown.New("reset")}, {status: 200, body: "ok"}}}
+		upstream := &scriptedUpstream{answers: []answer{{err: gateway.ErrUnknown.New("reset")}, {status: 200, body: "ok"}}}
 		reply := serveQuarantined(upstream, suspect, request("safe"), view())
 		if reply.status != 200 || suspect.turns != 2 {
 			t.Errorf("status %d after %d turns", reply.status, suspect.turns)
@@ -252,7 +254,7 @@
 			tracker := &fakeQuarantine{}
 			sent := request("safe")
 			sent.Prompt = c.prompt
-			serveQuarantined(&script{answers: []answer{{err: gateway.ErrUnknown.New("reset")}, {status: 200, body: "well"}}}, tracker, sent, view())
+			serveQuarantined(&scriptedUpstream{answers: []answer{{err: gateway.ErrUnknown.New("reset")}, {status: 200, body: "well"}}}, tracker, sent, view())
 			if len(tracker.broke) != 1 || len(tracker.broke[0].Parts) != c.want || len(tracker.servedParts) != c.want {
 				t.Errorf("prompt of %d parts: broke %v, served %v", len(c.prompt), tracker.broke, tracker.servedParts)
 			}
@@ -270,7 +272,7 @@
 		tracker := &fakeQuarantine{suspects: true}
 		sent := request("safe")
 		sent.Prompt = []gateway.PromptPart{{ID: "first"}, {ID: "own"}}
-		serveQuarantined(&script{answers: []answer{{status: 200, body: "well", framing: gateway.FramedByConnection}}}, tracker, sent, view())
+		serveQuarantined(&scriptedUpstream{answers: []answer{{status: 200, body: "well", framing: gateway.FramedByConnection}}}, tracker, sent, view())
 		if tracker.served != 1 || len(tracker.servedParts) > 0 || len(tracker.harmless) > 0 {
 			t.Errorf("served %d times with parts %v, reported as harmless %v", tracker.served, tracker.servedParts, tracker.harmless)
 		}
--- a/gateway/refuse_test.go
+++ b/gateway/refuse_test.go
@@ -25,16 +25,16 @@
 			g.Refuse(sent, reply, 413, gateway.ReasonBodyTooLarge)
 		}, 413, gateway.StepRefused, gateway.ReasonBodyTooLarge},
 		{"its client disconnects within the body", func(g *gateway.Gateway, sent *gateway.Request, reply gateway.Reply) {
-			g.NotRead(sent, reply)
-		}, 0, gateway.StepEnded, gateway.ReasonClientGone},
+			g.BodyNotReceived(sent, reply)
+		}, 0, gateway.StepEnded, gateway.ReasonClientDisconnected},
 		{"the daemon stops within the body", func(g *gateway.Gateway, sent *gateway.Request, reply gateway.Reply) {
 			g.End()
-			g.NotRead(sent, reply)
+			g.BodyNotReceived(sent, reply)
 		}, 503, gateway.StepRefused, gateway.ReasonStopping},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			upstream, observer, got := &script{}, &recorder{}, &client{}
+			upstream, observer, got := &scriptedUpstream{}, &recorder{}, &recordingReply{}
 			g := observedGateway(upstream, observer)
 			g.SetView(view("m"))
 			c.end(g, request("unsafe"), got)
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -23,8 +23,8 @@
 // unknownLength is the length of an answer whose length is not announced in its head.
 const unknownLength = -1
 
-// pass relays an instance's answer to the client.
-func (e *exchange) pass(ctx context.Context, candidate *balance.Candidate, response Response) verdict {
+// relay relays an instance's answer to the client.
+func (e *exchange) relay(ctx context.Context, candidate *balance.Candidate, response Response) attemptResult {
 	defer response.Close()
 	if e.route.Kind == fleet.KindStream && response.Status() == statusOK && response.Signed() {
 		return e.relayStream(ctx, candidate, response)
@@ -34,16 +34,16 @@
 
 // relayBuffered reads the whole answer before sending any of it to the client. A truncated answer can then be retried,
 // or reported to the client as a failure.
-func (e *exchange) relayBuffered(ctx context.Context, instance *fleet.Instance, response Response) verdict {
+func (e *exchange) relayBuffered(ctx context.Context, instance *fleet.Instance, response Response) attemptResult {
 	id := instance.ID
-	body, err := io.ReadAll(io.LimitReader(response, maxWhole+1))
+	body, err := io.ReadAll(io.LimitReader(response, maxBufferedBytes+1))
 	if err != nil {
-		e.brokenBy(ctx, instance)
-		e.end(id, blame(ctx, balance.Failed))
+		e.reportBroken(ctx, instance)
+		e.end(id, attributableOutcome(ctx, balance.Failed))
 		e.observe(Event{Step: StepAttemptFailed, Instance: id, Status: response.Status(), Err: err})
-		return verdictBroken
+		return attemptBroken
 	}
-	if len(body) > maxWhole {
+	if len(body) > maxBufferedBytes {
 		e.end(id, balance.Served)
 		return e.relayLarge(ctx, instance, response, body)
 	}
@@ -52,23 +52,23 @@
 		e.end(id, balance.Failed)
 		if !acceptable || e.mayRetryFailure() {
 			e.observe(Event{Step: StepAttemptFailed, Instance: id, Status: response.Status()})
-			return verdictBroken
+			return attemptBroken
 		}
 	} else {
 		e.end(id, balance.Served)
 		if response.Status() < statusMultipleChoices {
-			e.endedWell(id)
+			e.reportSuccess(id)
 		}
 	}
-	if e.begun {
-		return verdictBroken
+	if e.answerStarted {
+		return attemptBroken
 	}
-	e.begun = true
+	e.answerStarted = true
 	if e.reply.Begin(response.Status(), response.Header(), int64(len(body))) != nil || e.reply.Write(body) != nil {
 		e.reply.Abort()
 	}
 	e.observe(Event{Step: StepEnded, Instance: id, Status: response.Status(), Reason: ReasonAnswered})
-	return verdictEnded
+	return attemptEnded
 }
 
 // impliesNotRun reports whether a status implies to the client that the request was not executed. An answer with such a
@@ -84,45 +84,45 @@
 // mayRetryFailure reports whether an answer with an error status may be discarded because another instance can be
 // tried.
 func (e *exchange) mayRetryFailure() bool {
-	return e.route.Repeatable() && len(e.sentTo) < e.route.MaxAttempts
+	return e.route.Repeatable() && len(e.attemptedInstances) < e.route.MaxAttempts
 }
 
 // relayLarge relays an answer that is too large to be buffered as a whole. Head is the part that has already been read.
-func (e *exchange) relayLarge(ctx context.Context, instance *fleet.Instance, response Response, head []byte) verdict {
+func (e *exchange) relayLarge(ctx context.Context, instance *fleet.Instance, response Response, head []byte) attemptResult {
 	id := instance.ID
-	if e.begun {
-		return verdictBroken
+	if e.answerStarted {
+		return attemptBroken
 	}
-	e.begun = true
+	e.answerStarted = true
 	if e.reply.Begin(response.Status(), response.Header(), response.Length()) != nil || e.reply.Write(head) != nil {
 		e.reply.Abort()
-		return verdictEnded
+		return attemptEnded
 	}
-	buffer := make([]byte, pieceSize)
+	buffer := make([]byte, pieceBytes)
 	for {
 		count, err := response.Read(buffer)
 		if count > 0 && e.reply.Write(buffer[:count]) != nil {
 			e.reply.Abort()
-			return verdictEnded
+			return attemptEnded
 		}
 		if errors.Is(err, io.EOF) {
-			e.endedWell(id)
+			e.reportSuccess(id)
 			e.observe(Event{Step: StepEnded, Instance: id, Status: response.Status(), Reason: ReasonAnswered})
-			return verdictEnded
+			return attemptEnded
 		}
 		if err != nil {
-			e.brokenBy(ctx, instance)
-			e.giveUp(ctx, ReasonBroken)
-			return verdictEnded
+			e.reportBroken(ctx, instance)
+			e.fail(ctx, ReasonBroken)
+			return attemptEnded
 		}
 	}
 }
 
 // relayStream relays the events of a stream as they arrive. For a resumable stream only complete events are relayed, so
 // that another instance can continue after the last one.
-func (e *exchange) relayStream(ctx context.Context, candidate *balance.Candidate, response Response) verdict {
+func (e *exchange) relayStream(ctx context.Context, candidate *balance.Candidate, response Response) attemptResult {
 	id := candidate.Instance.ID
-	buffer := make([]byte, pieceSize)
+	buffer := make([]byte, pieceBytes)
 	var events eventSplitter
 	// A run that resumes after the last event of a stream produces no events of its own.
 	resumed := e.resumeAfter != ""
@@ -131,7 +131,7 @@
 	for {
 		count, err := response.Read(buffer)
 		if count > 0 {
-			e.answering(candidate)
+			e.recordAnswerPiece(candidate)
 			if sampling && gaps.record(e.gateway.Now(), buffer[:count]) {
 				e.reportSample(id, &gaps)
 			}
@@ -143,9 +143,9 @@
 			}
 			if !e.writePiece(candidate.Instance, response, piece) {
 				e.end(id, balance.Abandoned)
-				e.observe(Event{Step: StepEnded, Instance: id, Reason: ReasonClientGone})
+				e.observe(Event{Step: StepEnded, Instance: id, Reason: ReasonClientDisconnected})
 				e.reply.Abort()
-				return verdictEnded
+				return attemptEnded
 			}
 			if events.lastID != "" {
 				e.resumeAfter = events.lastID
@@ -160,34 +160,34 @@
 		case err == nil:
 			continue
 		case errors.Is(err, io.EOF):
-			e.answered(candidate)
+			e.recordWholeAnswer(candidate)
 			if sampling {
 				e.reportSample(id, &gaps)
 			}
 			return e.finishStream(candidate.Instance, response, &events)
 		default:
-			e.brokenBy(ctx, candidate.Instance)
-			e.end(id, blame(ctx, balance.Failed))
-			e.observe(Event{Step: StepStreamBroke, Instance: id, Err: err})
-			return verdictBroken
+			e.reportBroken(ctx, candidate.Instance)
+			e.end(id, attributableOutcome(ctx, balance.Failed))
+			e.observe(Event{Step: StepStreamTruncated, Instance: id, Err: err})
+			return attemptBroken
 		}
 	}
 }
 
 // finishStream ends a stream that has arrived completely.
-func (e *exchange) finishStream(instance *fleet.Instance, response Response, events *eventSplitter) verdict {
+func (e *exchange) finishStream(instance *fleet.Instance, response Response, events *eventSplitter) attemptResult {
 	id := instance.ID
 	e.end(id, balance.Served)
-	e.endedWell(id)
+	e.reportSuccess(id)
 	if !e.writePiece(instance, response, events.remainder()) {
 		e.reply.Abort()
 	}
-	if !e.begun {
-		e.begun = true
+	if !e.answerStarted {
+		e.answerStarted = true
 		_ = e.reply.Begin(response.Status(), response.Header(), unknownLength)
 	}
 	e.observe(Event{Step: StepEnded, Instance: id, Status: response.Status(), Reason: ReasonAnswered})
-	return verdictEnded
+	return attemptEnded
 }
 
 // writePiece sends a piece of a stream to the client, preceded by the head if that has not been sent yet. The length
@@ -197,28 +197,28 @@
 	if len(piece) == 0 {
 		return true
 	}
-	if !e.begun {
-		e.begun = true
+	if !e.answerStarted {
+		e.answerStarted = true
 		e.recordStart(instance)
 		if e.reply.Begin(response.Status(), response.Header(), unknownLength) != nil {
 			return false
 		}
 	}
-	e.pace.recordPiece(e.gateway.Now())
+	e.deliveryTimes.recordPiece(e.gateway.Now())
 	return e.reply.Write(piece) == nil
 }
 
 // delivery records when the pieces of a stream were written to the client.
 type delivery struct {
 	firstAt, lastAt time.Time
-	longest         time.Duration
+	maxGap          time.Duration
 }
 
 func (d *delivery) recordPiece(now time.Time) {
 	if d.firstAt.IsZero() {
 		d.firstAt = now
 	} else {
-		d.longest = max(d.longest, now.Sub(d.lastAt))
+		d.maxGap = max(d.maxGap, now.Sub(d.lastAt))
 	}
 	d.lastAt = now
 }
--- a/gateway/sampler.go
+++ b/gateway/sampler.go
@@ -19,10 +19,10 @@
 // eventTerminator ends an event whose lines end with LF.
 var eventTerminator = []byte("\n\n")
 
-// SampleObserver receives samples of the time that instances take between stream events. Sampled is called from several
+// PaceObserver receives samples of the time that instances take between stream events. Sampled is called from several
 // goroutines and must not block.
-type SampleObserver interface {
-	Sampled(sample pace.Sample)
+type PaceObserver interface {
+	AddSample(sample pace.Sample)
 }
 
 // sampler measures the gaps between the events of one stream as they are read from the instance. The zero value is
@@ -94,7 +94,7 @@
 // reportSample passes a valid sample of a stream to the observer.
 func (e *exchange) reportSample(instance string, s *sampler) {
 	if gap, complete := s.finish(); complete {
-		e.gateway.settings.Samples.Sampled(pace.Sample{Instance: instance, Model: e.request.Model, Gap: gap})
+		e.gateway.settings.Samples.AddSample(pace.Sample{Instance: instance, Model: e.request.Model, Gap: gap})
 	}
 }
 
--- a/gateway/shutdown.go
+++ b/gateway/shutdown.go
@@ -19,8 +19,8 @@
 // aborted connection only if a part of an answer has been sent.
 func (g *Gateway) End() { g.lifetime.End() }
 
-// drained reports whether the request may no longer start.
-func (e *exchange) drained() bool { return !e.mayHaveRun && e.gateway.lifetime.Drained() }
+// startBlocked reports whether the request may no longer start.
+func (e *exchange) startBlocked() bool { return !e.mayHaveRun && e.gateway.lifetime.Drained() }
 
 // clientLeft reports whether a request's context ended because its client disconnected.
 func clientLeft(ctx context.Context) bool {
--- a/gateway/shutdown_test.go
+++ b/gateway/shutdown_test.go
@@ -48,7 +48,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				upstream, observer, got := &script{answers: c.answers}, &recorder{}, &client{}
+				upstream, observer, got := &scriptedUpstream{answers: c.answers}, &recorder{}, &recordingReply{}
 				g := observedGateway(upstream, observer)
 				g.SetView(view("m"))
 				time.AfterFunc(drainAt, g.Drain)
@@ -78,10 +78,10 @@
 // stops. It guards against a delayed request that does not end then.
 func TestPacedRequestEndsWithTheStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		upstream, observer, got := &script{}, &recorder{}, &client{}
+		upstream, observer, got := &scriptedUpstream{}, &recorder{}, &recordingReply{}
 		g := observedGateway(upstream, observer)
 		g.SetView(view("m"))
-		g.SetChooser(crowded{})
+		g.SetChooser(crowdedChooser{})
 		time.AfterFunc(50*time.Millisecond, g.Drain)
 		sent := request("stream")
 		sent.Model = "m"
--- a/gateway/slots.go
+++ b/gateway/slots.go
@@ -23,28 +23,28 @@
 func (e *exchange) reportNoRoom(id string) {
 	instance := e.gateway.view.Load().Instance(id)
 	if notices := e.gateway.settings.Notices; notices != nil && instance != nil {
-		notices.TurnedAway(instance)
+		notices.RecordRefusal(instance)
 	}
 }
 
-// takeSlot reserves a slot of an instance for the request, and reports whether the request may be sent there.
-func (e *exchange) takeSlot(ctx context.Context, candidate *balance.Candidate) bool {
-	e.giveBackSlot()
+// acquireSlot reserves a slot of an instance for the request, and reports whether the request may be sent there.
+func (e *exchange) acquireSlot(ctx context.Context, candidate *balance.Candidate) bool {
+	e.releaseSlot()
 	notices := e.gateway.settings.Notices
 	if notices == nil {
 		return true
 	}
-	slot := notices.TakeSlot(ctx, candidate.Instance, candidate.Load.Requests)
+	slot := notices.AcquireSlot(ctx, candidate.Instance, candidate.Load.Requests)
 	if slot == SlotTaken {
 		e.slotInstance = candidate.Instance
 	}
 	return slot != SlotDenied
 }
 
-// giveBackSlot releases the slot that the request holds, if any.
-func (e *exchange) giveBackSlot() {
+// releaseSlot releases the slot that the request holds, if any.
+func (e *exchange) releaseSlot() {
 	if e.slotInstance != nil {
-		e.gateway.settings.Notices.GiveBackSlot(e.slotInstance)
+		e.gateway.settings.Notices.ReleaseSlot(e.slotInstance)
 		e.slotInstance = nil
 	}
 }
--- a/gateway/streamorigin.go
+++ b/gateway/streamorigin.go
@@ -6,10 +6,10 @@
 	"github.com/wheatweir/wheatweir/fleet"
 )
 
-// Origins tracks which software version started a stream. It must be safe for concurrent use. Only Find blocks.
-type Origins interface {
-	// Began records a resumable stream whose first event is sent now.
-	Began(begun BegunStream)
+// StreamOrigins tracks which software version started a stream. It must be safe for concurrent use. Only Find blocks.
+type StreamOrigins interface {
+	// RecordStream records a resumable stream whose first event is sent now.
+	RecordStream(begun StartedStream)
 	// Find returns the origin of the stream that a request of a route resumes, or false if it cannot be determined.
 	// Service is the service of the request if the origin does not name one.
 	Find(ctx context.Context, request *Request, route *fleet.Route, service string) (StreamOrigin, bool)
@@ -21,41 +21,41 @@
 	Software string
 }
 
-// BegunStream is a stream whose first event is sent, or the first event since its client resumed it.
-type BegunStream struct {
+// StartedStream is a stream whose first event is sent, or the first event since its client resumed it.
+type StartedStream struct {
 	Request  *Request
 	Route    *fleet.Route
 	Service  string
 	Software string
 }
 
-// origin is the software version of the instances that started a stream. The outputs of two versions cannot be combined
+// requiredOrigin is the software version of the instances that started a stream. The outputs of two versions cannot be combined
 // in one stream, and instances do not check for that.
-type origin struct {
-	pinned   bool
+type requiredOrigin struct {
+	required bool
 	software string
 }
 
 // require restricts the stream to instances of one version, from its first event on.
-func (o *origin) require(software string) { o.pinned, o.software = true, software }
+func (o *requiredOrigin) require(software string) { o.required, o.software = true, software }
 
 // allows reports whether a stream may continue at an instance.
-func (o *origin) allows(instance *fleet.Instance) bool {
-	return !o.pinned || instance.Software == o.software
+func (o *requiredOrigin) allows(instance *fleet.Instance) bool {
+	return !o.required || instance.Software == o.software
 }
 
 // findOrigin looks up the origin of the stream that the request resumes. It returns the reason why the request must not
 // be served, or an empty reason.
 func (e *exchange) findOrigin(ctx context.Context) Reason {
 	resuming := e.request.ResumeAfter != ""
-	if e.gateway.settings.Origins == nil || !e.route.Resumable || !resuming && e.request.Resumes == "" {
+	if e.gateway.settings.StreamOrigins == nil || !e.route.Resumable || !resuming && e.request.ResumedRequestID == "" {
 		return ""
 	}
-	start, known := e.gateway.settings.Origins.Find(ctx, e.request, e.route, e.service)
+	start, known := e.gateway.settings.StreamOrigins.Find(ctx, e.request, e.route, e.service)
 	switch {
 	case known:
 		e.service = start.Service
-		e.origin.require(start.Software)
+		e.requiredOrigin.require(start.Software)
 	case resuming:
 		return ReasonUnknownOrigin
 	}
@@ -64,20 +64,20 @@
 
 // recordStart restricts the stream to the version of the instance whose first event is sent, and records it.
 func (e *exchange) recordStart(instance *fleet.Instance) {
-	e.origin.require(instance.Software)
-	if e.gateway.settings.Origins != nil && e.route.Resumable {
-		e.gateway.settings.Origins.Began(BegunStream{Request: e.request, Route: e.route, Service: e.service, Software: instance.Software})
+	e.requiredOrigin.require(instance.Software)
+	if e.gateway.settings.StreamOrigins != nil && e.route.Resumable {
+		e.gateway.settings.StreamOrigins.RecordStream(StartedStream{Request: e.request, Route: e.route, Service: e.service, Software: instance.Software})
 	}
 }
 
 // lacksSoftware reports whether no instance is left at which the stream may continue. Such a stream is not worth
 // waiting for, since it is unknown when such an instance becomes available again.
 func (e *exchange) lacksSoftware(view *fleet.View) bool {
-	if !e.origin.pinned {
+	if !e.requiredOrigin.required {
 		return false
 	}
 	for _, instance := range view.Instances(e.service) {
-		if !instance.Leaving && e.origin.allows(instance) {
+		if !instance.Leaving && e.requiredOrigin.allows(instance) {
 			return false
 		}
 	}
--- a/gateway/streamorigin_test.go
+++ b/gateway/streamorigin_test.go
@@ -44,10 +44,10 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				upstream := &script{answers: c.answers}
-				g := newGateway(upstream, &noDemand{})
+				upstream := &scriptedUpstream{answers: c.answers}
+				g := newGateway(upstream, &recordingDemand{})
 				g.SetView(softwareView(c.versions...))
-				sent, got := request("resume"), &client{}
+				sent, got := request("resume"), &recordingReply{}
 				sent.Model = "m"
 				g.Serve(context.Background(), sent, got)
 				if len(upstream.sent) != c.sent || got.aborted != c.aborted || got.at.Sub(sent.Arrived) > 100*time.Millisecond {
@@ -61,13 +61,13 @@
 // fixedOrigins is an Origins with fixed origins of some streams, which records the streams that start.
 type fixedOrigins struct {
 	known map[string]gateway.StreamOrigin
-	began []gateway.BegunStream
+	began []gateway.StartedStream
 }
 
-func (o *fixedOrigins) Began(begun gateway.BegunStream) { o.began = append(o.began, begun) }
+func (o *fixedOrigins) RecordStream(begun gateway.StartedStream) { o.began = append(o.began, begun) }
 
 func (o *fixedOrigins) Find(_ context.Context, request *gateway.Request, _ *fleet.Route, _ string) (gateway.StreamOrigin, bool) {
-	found, known := o.known[request.Resumes]
+	found, known := o.known[request.ResumedRequestID]
 	return found, known
 }
 
@@ -95,12 +95,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				origins := &fixedOrigins{known: map[string]gateway.StreamOrigin{"first": {Service: "svc", Software: "v2"}, "old": {Service: "svc", Software: "v0"}}}
-				settings := gateway.Settings{RetryAfter: 200 * time.Millisecond, WaitShare: 0.5, ShareOfConnections: func() float64 { return 1 }, Origins: origins}
-				upstream := &script{}
-				g := gateway.New(settings, upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), &noDemand{}, silent{})
+				settings := gateway.Settings{RetryAfter: 200 * time.Millisecond, MaxWaitShare: 0.5, ConnectionShare: func() float64 { return 1 }, StreamOrigins: origins}
+				upstream := &scriptedUpstream{}
+				g := gateway.New(settings, upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), &recordingDemand{}, discardObserver{})
 				g.SetView(softwareView("v1", "v1", "v2"))
-				sent, got := request(c.route), &client{}
-				sent.Model, sent.Resumes, sent.ResumeAfter = "m", c.resumes, c.after
+				sent, got := request(c.route), &recordingReply{}
+				sent.Model, sent.ResumedRequestID, sent.ResumeAfter = "m", c.resumes, c.after
 				g.Serve(context.Background(), sent, got)
 				if got.status != c.status || got.reason != c.reason || got.at.Sub(sent.Arrived) > 100*time.Millisecond {
 					t.Fatalf("status %d, reason %q after %v", got.status, got.reason, got.at.Sub(sent.Arrived))
--- a/gateway/streamsampling_test.go
+++ b/gateway/streamsampling_test.go
@@ -18,8 +18,8 @@
 	samples []pace.Sample
 }
 
-// Sampled implements gateway.SampleObserver.
-func (r *sampleRecorder) Sampled(sample pace.Sample) {
+// AddSample implements gateway.PaceObserver.
+func (r *sampleRecorder) AddSample(sample pace.Sample) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.samples = append(r.samples, sample)
@@ -41,11 +41,11 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			received := &sampleRecorder{}
-			upstream := &script{answers: []answer{{status: 200, body: body, piece: 9}}}
-			settings := gateway.Settings{WaitShare: 0.5, ShareOfConnections: func() float64 { return 1 }, Samples: received}
-			g := gateway.New(settings, upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), &noDemand{}, silent{})
+			upstream := &scriptedUpstream{answers: []answer{{status: 200, body: body, piece: 9}}}
+			settings := gateway.Settings{MaxWaitShare: 0.5, ConnectionShare: func() float64 { return 1 }, Samples: received}
+			g := gateway.New(settings, upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), &recordingDemand{}, discardObserver{})
 			g.SetView(view("m"))
-			requested, reply := request(c.route), &client{}
+			requested, reply := request(c.route), &recordingReply{}
 			requested.Model = c.model
 			g.Serve(context.Background(), requested, reply)
 			if reply.body.String() != body {
--- a/gateway/suspend_test.go
+++ b/gateway/suspend_test.go
@@ -17,13 +17,13 @@
 // model that was loaded meanwhile, after its deadline.
 func TestSuspendedMachineSendsNothingTooLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		machine, upstream := clock.NewFake(), &script{}
+		machine, upstream := clock.NewFake(), &scriptedUpstream{}
 		settings := gateway.Settings{
-			Now: machine.Now, RetryAfter: 200 * time.Millisecond, WaitShare: 0.5, ShareOfConnections: func() float64 { return 1 },
+			Now: machine.Now, RetryAfter: 200 * time.Millisecond, MaxWaitShare: 0.5, ConnectionShare: func() float64 { return 1 },
 		}
-		g := gateway.New(settings, upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), &noDemand{}, silent{})
+		g := gateway.New(settings, upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), &recordingDemand{}, discardObserver{})
 		g.SetView(view())
-		sent, reply, done := request("stream"), &client{}, make(chan struct{})
+		sent, reply, done := request("stream"), &recordingReply{}, make(chan struct{})
 		sent.Model, sent.Arrived = "m", machine.Now()
 		go func() {
 			defer close(done)
@@ -48,11 +48,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		machine := clock.NewFake()
 		machine.Sleep(time.Minute)
-		upstream := &script{answers: []answer{{hang: true}}}
-		settings := gateway.Settings{Now: machine.Now, ShareOfConnections: func() float64 { return 1 }}
-		g := gateway.New(settings, upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), &noDemand{}, silent{})
+		upstream := &scriptedUpstream{answers: []answer{{hang: true}}}
+		settings := gateway.Settings{Now: machine.Now, ConnectionShare: func() float64 { return 1 }}
+		g := gateway.New(settings, upstream, balance.NewTracker(), retry.NewBudget(0.2, 10), &recordingDemand{}, discardObserver{})
 		g.SetView(view())
-		sent, reply, began := request("once"), &client{}, time.Now()
+		sent, reply, began := request("once"), &recordingReply{}, time.Now()
 		sent.Arrived = machine.Now()
 		g.Serve(context.Background(), sent, reply)
 		if took := time.Since(began); took != 5*time.Second || upstream.left[0] != 5*time.Second {
--- a/gateway/tokentimes_test.go
+++ b/gateway/tokentimes_test.go
@@ -20,21 +20,21 @@
 
 func (c *choiceRecorder) Choose(_ context.Context, view *fleet.View, service string, request *balance.Request) *balance.Candidate {
 	c.requests = append(c.requests, *request)
-	return &balance.Candidate{Instance: view.Instances(service)[0], Available: true, Of: 1, Slowness: c.slowness, Load: c.load}
+	return &balance.Candidate{Instance: view.Instances(service)[0], Available: true, CandidateCount: 1, Slowness: c.slowness, Load: c.load}
 }
 
 // serveStream serves a request with 40 expected tokens, the first of which arrives after 200 ms and the
 // last 400 ms later.
-func serveStream(tracker *balance.Tracker, chooser *choiceRecorder, route, resumeAfter string) *client {
-	upstream := &script{answers: []answer{{status: 200, body: "id: 1\n\n", after: 200 * time.Millisecond, pause: 400 * time.Millisecond}}}
-	g := trackedGateway(upstream, &noDemand{}, tracker)
+func serveStream(tracker *balance.Tracker, chooser *choiceRecorder, route, resumeAfter string) *recordingReply {
+	upstream := &scriptedUpstream{answers: []answer{{status: 200, body: "id: 1\n\n", after: 200 * time.Millisecond, pause: 400 * time.Millisecond}}}
+	g := trackedGateway(upstream, &recordingDemand{}, tracker)
 	routes := configuration()
 	for i := range routes.Routes {
 		routes.Routes[i].TargetGap = 300 * time.Millisecond
 	}
 	g.SetView(fleet.NewView(routes, []*fleet.Instance{{ID: "i1", Service: "svc", Slots: 4, Residents: []fleet.Resident{{Model: "m"}}}}))
 	g.SetChooser(chooser)
-	sent, got := request(route), &client{}
+	sent, got := request(route), &recordingReply{}
 	sent.Model, sent.PromptTokens, sent.OutputTokens, sent.ResumeAfter = "m", 2000, 40, resumeAfter
 	g.Serve(context.Background(), sent, got)
 	return got
@@ -86,7 +86,7 @@
 		t.Run(fmt.Sprint(slowness), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				tracker, chooser := balance.NewTracker(), &choiceRecorder{slowness: slowness, load: balance.Load{Requests: 6}}
-				tracker.Run(&balance.Candidate{Instance: &fleet.Instance{ID: "other", Service: "svc", Slots: 4}}, time.Second)
+				tracker.ObserveRun(&balance.Candidate{Instance: &fleet.Instance{ID: "other", Service: "svc", Slots: 4}}, time.Second)
 				if got := serveStream(tracker, chooser, "stream", ""); (got.status == 200) != served {
 					t.Errorf("status %d (%s), want served %v", got.status, got.reason, served)
 				}
--- a/gateway/types.go
+++ b/gateway/types.go
@@ -25,8 +25,8 @@
 	// ErrNoConnection means that all connections which this daemon may have to the instance
 	// are in use. It does not count against the instance.
 	ErrNoConnection = errs.Class("gateway: no connection")
-	// ErrBarred means that Outbound.MayReach no longer allowed the request to be sent to the instance.
-	ErrBarred = errs.Class("gateway: barred")
+	// ErrExcluded means that Outbound.StillAllowed no longer allowed the request to be sent to the instance.
+	ErrExcluded = errs.Class("gateway: barred")
 )
 
 // Field is one header field. Name has the spelling in which it was received.
@@ -61,19 +61,19 @@
 	Adapter      string
 	PromptTokens int
 	OutputTokens int
-	// TokensTold is true if the client stated PromptTokens and OutputTokens.
-	TokensTold bool
+	// TokensDeclared is true if the client stated PromptTokens and OutputTokens.
+	TokensDeclared bool
 	// Key is the digest of the client's API key; the zero value if it sent none.
 	Key    tenant.Digest
 	Prompt []PromptPart
 	// ResumeAfter is the ID of the last event that the client received, or empty.
 	ResumeAfter string
-	// Resumes is the ID of the request that received the first event of the stream which this request resumes, or empty.
-	Resumes string
+	// ResumedRequestID is the ID of the request that received the first event of the stream which this request resumes, or empty.
+	ResumedRequestID string
 
 	Arrived time.Time
-	// Patience is the timeout of the client; zero if it stated none.
-	Patience time.Duration
+	// ClientTimeout is the timeout of the client; zero if it stated none.
+	ClientTimeout time.Duration
 }
 
 // Outbound is a request on its way to one instance.
@@ -90,9 +90,9 @@
 	ResumeAfter string
 	// MaxConnections bounds the connections from this daemon to the instance; zero means no limit.
 	MaxConnections int
-	// MayReach is called once there is a connection, just before the first byte is sent. It reports whether the request
+	// StillAllowed is called once there is a connection, just before the first byte is sent. It reports whether the request
 	// may still be sent; nil means that it may.
-	MayReach func() bool
+	StillAllowed func() bool
 }
 
 // Framing is the way in which an answer marks the end of its body.
--- a/gateway/unreached_test.go
+++ b/gateway/unreached_test.go
@@ -14,7 +14,7 @@
 
 // unreachableUpstream is an Upstream whose connection attempts time out until a given time.
 type unreachableUpstream struct {
-	script
+	scriptedUpstream
 	until time.Time
 	dials int
 }
@@ -25,7 +25,7 @@
 		time.Sleep(dialFailureDelay)
 		return nil, gateway.ErrNotSent.New("i/o timeout")
 	}
-	return u.script.Send(ctx, outbound)
+	return u.scriptedUpstream.Send(ctx, outbound)
 }
 
 // TestInstancesThatCouldNotBeReachedAreTriedAgain covers requests that could connect to none of the instances that
@@ -34,23 +34,23 @@
 func TestInstancesThatCouldNotBeReachedAreTriedAgain(t *testing.T) {
 	cases := []struct {
 		name     string
-		excluded gateway.Bar
+		excluded gateway.Exclusion
 		outage   time.Duration
 		status   int
 		reason   gateway.Reason
 		dials    int
 	}{
-		{"beside one at its limit", gateway.Bar{Instance: "i3", Reason: gateway.ReasonAtLimit}, 700 * time.Millisecond, 200, "", 2},
-		{"beside one in its backoff", gateway.Bar{Instance: "i3", Reason: gateway.ReasonResting}, 700 * time.Millisecond, 200, "", 2},
-		{"beside one at its limit, for long", gateway.Bar{Instance: "i3", Reason: gateway.ReasonAtLimit}, time.Minute, 503, gateway.ReasonAtLimit, 6},
+		{"beside one at its limit", gateway.Exclusion{Instance: "i3", Reason: gateway.ReasonAtLimit}, 700 * time.Millisecond, 200, "", 2},
+		{"beside one in its backoff", gateway.Exclusion{Instance: "i3", Reason: gateway.ReasonResting}, 700 * time.Millisecond, 200, "", 2},
+		{"beside one at its limit, for long", gateway.Exclusion{Instance: "i3", Reason: gateway.ReasonAtLimit}, time.Minute, 503, gateway.ReasonAtLimit, 6},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c.excluded.Until = time.Now().Add(time.Minute)
-				notices := &fakeNotices{bars: []gateway.Bar{c.excluded}, turns: map[string]gateway.Turn{"i3": {Wait: time.Minute}}}
+				notices := &fakeNotices{bars: []gateway.Exclusion{c.excluded}, turns: map[string]gateway.Turn{"i3": {Wait: time.Minute}}}
 				upstream := &unreachableUpstream{until: time.Now().Add(c.outage)}
-				reply := serveUnder(notices, upstream, request("unsafe"))
+				reply := serveWithNotices(notices, upstream, request("unsafe"))
 				if reply.status != c.status || reply.reason != c.reason || upstream.dials > c.dials {
 					t.Errorf("status %d, reason %q, after %d failed connections", reply.status, reply.reason, upstream.dials)
 				}
--- a/gateway/wait.go
+++ b/gateway/wait.go
@@ -74,17 +74,17 @@
 		w.withdrawDemand = w.reportDemand()
 	}
 	reason = e.lackReason(view)
-	return reason, w.waitFor(ctx, reason, lookPause, changed)
+	return reason, w.waitFor(ctx, reason, recheckInterval, changed)
 }
 
 // reportDemand reports to the placement what the request waits for. The returned function withdraws the report.
 func (w *candidateWait) reportDemand() func() {
 	e := w.exchange
-	withdrawModel := e.gateway.demand.Lacking(e.service, e.request.Model, e.request.Adapter)
-	if !e.origin.pinned {
+	withdrawModel := e.gateway.demand.ModelMissing(e.service, e.request.Model, e.request.Adapter)
+	if !e.requiredOrigin.required {
 		return withdrawModel
 	}
-	withdrawSoftware := e.gateway.demand.LackingSoftware(e.service, e.request.Model, e.origin.software)
+	withdrawSoftware := e.gateway.demand.SoftwareMissing(e.service, e.request.Model, e.requiredOrigin.software)
 	return func() {
 		withdrawModel()
 		withdrawSoftware()
@@ -112,7 +112,7 @@
 	w.lacksConnection = false
 	e := w.exchange
 	left := max(0, e.until(until))
-	e.comeBack = left
+	e.retryDelay = left
 	return left <= e.until(e.waitUntil) && w.waitFor(ctx, ReasonResting, left+minBackoffDelay+rand.N(backoffEndSpread), nil)
 }
 
@@ -121,10 +121,10 @@
 func (w *candidateWait) waitFor(ctx context.Context, reason Reason, duration time.Duration, signal <-chan struct{}) bool {
 	e := w.exchange
 	left := e.until(e.waitUntil)
-	if len(e.sentTo) > 0 || left <= 0 {
+	if len(e.attemptedInstances) > 0 || left <= 0 {
 		return false
 	}
-	e.leaveLine()
+	e.leaveQueue()
 	e.phase = PhaseWaiting
 	e.observeOnce(StepWaiting, reason)
 	timer := time.NewTimer(min(duration, left))
--- a/gateway/yield.go
+++ b/gateway/yield.go
@@ -73,11 +73,11 @@
 
 // slack returns the target less the forecast, the reserve and the time waited.
 func (in *yieldInput) slack() time.Duration {
-	return in.Target - in.Forecast - yieldReserveOf(in.Target) - in.Waited
+	return in.Target - in.Forecast - yieldReserve(in.Target) - in.Waited
 }
 
-// yieldReserveOf returns the reserve of a yielding request for a target latency.
-func yieldReserveOf(target time.Duration) time.Duration {
+// yieldReserve returns the reserve of a yielding request for a target latency.
+func yieldReserve(target time.Duration) time.Duration {
 	return time.Duration(yieldReserveShare * float64(target))
 }
 
--- a/inifile/read.go
+++ b/inifile/read.go
@@ -113,7 +113,7 @@
 }
 
 func hint(word string, candidates []string) string {
-	if closest := nearest.Word(word, candidates); closest != "" {
+	if closest := nearest.Match(word, candidates); closest != "" {
 		return fmt.Sprintf(": did you mean %q?", closest)
 	}
 	return ": use one of " + strings.Join(candidates, ", ")
--- a/lab/sim/daemon.go
+++ b/lab/sim/daemon.go
@@ -168,7 +168,7 @@
 	w := d.world
 	keep := d.plane.settings.AddressKeep
 	quiet := w.Now.Sub(d.plane.lastCall) > keep
-	safe := d.node.LeaveKnownFor(w.Now) > keep && quiet && d.plane.active == 0
+	safe := d.node.LeaveAcknowledgedFor(w.Now) > keep && quiet && d.plane.active == 0
 	if !safe && w.Settings.Without != MechanismDrainBeforeStop {
 		w.After(50*time.Millisecond, d.guard(d.finishStop))
 		return
--- a/lab/sim/flight.go
+++ b/lab/sim/flight.go
@@ -99,7 +99,7 @@
 			load.End()
 			f.request.Exclude(load)
 			if result.Kind == outcome.Answered || f.first.IsZero() {
-				load.NoteResult(w.Now, result)
+				load.RecordResult(w.Now, result)
 			}
 			if w.Settings.Without == MechanismOutcomeKinds && result.Kind == outcome.Unknown {
 				result.Kind = outcome.NotRun
@@ -198,7 +198,7 @@
 	}
 	p := f.plane
 	if f.queue != nil {
-		started, expired := f.queue.End(p.daemon.world.Now, p.daemon.world.Now.Sub(f.entered))
+		started, expired := f.queue.Finish(p.daemon.world.Now, p.daemon.world.Now.Sub(f.entered))
 		f.queue = nil
 		defer p.resume(started, expired)
 	}
--- a/lab/sim/requests.go
+++ b/lab/sim/requests.go
@@ -178,7 +178,7 @@
 		f.finish(outcome.Refuse(outcome.ReasonUnknownModel, 0))
 		return
 	}
-	p.daemon.node.Interested(now, call.Reference.Model)
+	p.daemon.node.RequestReceived(now, call.Reference.Model)
 	f.deadline = now.Add(p.settings.DefaultDeadline)
 	if call.Deadline > 0 {
 		f.deadline = now.Add(call.Deadline)
--- a/lab/verify/report.go
+++ b/lab/verify/report.go
@@ -64,10 +64,10 @@
 // Check checks the names in a plan.
 func (p *Plan) Check() error {
 	if p.Promise != "" && !slices.Contains(PromiseNames(), p.Promise) {
-		return ErrVerify.New("no promise %q; did you mean %q?", p.Promise, nearest.Word(p.Promise, PromiseNames()))
+		return ErrVerify.New("no promise %q; did you mean %q?", p.Promise, nearest.Match(p.Promise, PromiseNames()))
 	}
 	if p.Without != sim.MechanismNone && !slices.Contains(MechanismNames(), string(p.Without)) {
-		return ErrVerify.New("no mechanism %q; did you mean %q?", p.Without, nearest.Word(string(p.Without), MechanismNames()))
+		return ErrVerify.New("no mechanism %q; did you mean %q?", p.Without, nearest.Match(string(p.Without), MechanismNames()))
 	}
 	return nil
 }
--- a/lease/era.go
+++ b/lease/era.go
@@ -28,7 +28,7 @@
 	if l.stored.missing() || l.stored.At.Era != l.era || l.stored.fromCopy() {
 		return 0
 	}
-	return time.Duration(l.stored.Record.EraRenewals) * l.settings.RenewEvery
+	return time.Duration(l.stored.Record.EraRenewals) * l.settings.RenewInterval
 }
 
 // predates reports whether a record, or its absence, belongs to a copy made before our own last write.
--- a/lease/era_test.go
+++ b/lease/era_test.go
@@ -71,7 +71,7 @@
 			calls++
 			outcome, stored := s.call(*call)
 			stored.At.Era = s.era
-			c.lease.Answered(now, outcome, stored)
+			c.lease.CallFinished(now, outcome, stored)
 		}
 	}
 	if calls > 5 {
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -65,9 +65,9 @@
 	return l.held && now.Before(l.validUntil)
 }
 
-// Retained reports whether this candidate was the last holder as far as it knows, even if the term has
+// LastFence reports whether this candidate was the last holder as far as it knows, even if the term has
 // ended, and does not hand the lease back.
-func (l *Lease) Retained() (fence uint64, ok bool) { return l.fence, l.held && !l.handsBack() }
+func (l *Lease) LastFence() (fence uint64, ok bool) { return l.fence, l.held && !l.handsBack() }
 
 // ValidUntil is when the right of the holder ends unless it is renewed.
 func (l *Lease) ValidUntil() time.Time { return l.validUntil }
@@ -118,7 +118,7 @@
 }
 
 func (l *Lease) renew(now time.Time) *Call {
-	renewAt := l.validUntil.Add(l.settings.Margin - l.settings.Term + l.settings.RenewEvery)
+	renewAt := l.validUntil.Add(l.settings.Margin - l.settings.Term + l.settings.RenewInterval)
 	if now.Before(renewAt) && l.writtenEra == l.era {
 		return nil
 	}
@@ -179,9 +179,9 @@
 	return &call
 }
 
-// Answered processes the result of the pending call. For OutcomeDone and OutcomeConflict, stored is the
+// CallFinished processes the result of the pending call. For OutcomeDone and OutcomeConflict, stored is the
 // record as it is in the store.
-func (l *Lease) Answered(now time.Time, outcome Outcome, stored Stored) {
+func (l *Lease) CallFinished(now time.Time, outcome Outcome, stored Stored) {
 	if !l.callPending {
 		return
 	}
@@ -195,9 +195,9 @@
 		// The answer, or the condition of the write, belongs to the store before its restore. The
 		// present record must be read.
 		l.firstReadDone, l.known = true, false
-		l.retryAt = now.Add(l.settings.RenewEvery / 4)
+		l.retryAt = now.Add(l.settings.RenewInterval / 4)
 	case outcome == OutcomeFailed:
-		l.retryAt = now.Add(l.settings.RenewEvery / 4)
+		l.retryAt = now.Add(l.settings.RenewInterval / 4)
 		if write != nil {
 			// The write may have been done, so the next call must read.
 			l.known = false
@@ -232,7 +232,7 @@
 	l.fence = fence
 	l.mayOrderFrom = l.calledAt
 	if wait {
-		l.mayOrderFrom = l.calledAt.Add(l.settings.OrderPause)
+		l.mayOrderFrom = l.calledAt.Add(l.settings.TakeoverOrderDelay)
 	}
 }
 
@@ -261,7 +261,7 @@
 		}
 		l.hadPredecessor = true
 		l.becomeHolder(true, fence)
-		l.mayOrderFrom = now.Add(l.settings.OrderPause)
+		l.mayOrderFrom = now.Add(l.settings.TakeoverOrderDelay)
 		l.validUntil = l.calledAt
 	}
 }
@@ -279,9 +279,9 @@
 // Place is the place of the newest known record.
 func (l *Lease) Place() history.Place { return l.stored.At }
 
-// Heard records that the holder renewed the lease at the given place, as reported by another daemon.
+// ObserveRenewal records that the holder renewed the lease at the given place, as reported by another daemon.
 // That the record is unchanged since then is known without a call to the store.
-func (l *Lease) Heard(now time.Time, renewal history.Place) {
+func (l *Lease) ObserveRenewal(now time.Time, renewal history.Place) {
 	l.EraLearned(now, renewal.Era)
 	if l.held || !renewal.After(l.stored.At) || renewal.Era < l.era {
 		return
@@ -295,9 +295,9 @@
 // reportedHolder stands for a holder whose record was not read.
 const reportedHolder = "(heard)"
 
-// HeardReleased records that the holder handed the lease back by the write at the given place. The
+// ObserveRelease records that the holder handed the lease back by the write at the given place. The
 // lease may be taken without a wait or a read.
-func (l *Lease) HeardReleased(now time.Time, release history.Place) {
+func (l *Lease) ObserveRelease(now time.Time, release history.Place) {
 	l.EraLearned(now, release.Era)
 	if l.held || !release.After(l.stored.At) || release.Era < l.era {
 		return
@@ -308,12 +308,12 @@
 	l.known = true
 }
 
-// Succeeded reports whether there was an earlier holder, however its term ended.
-func (l *Lease) Succeeded() bool { return l.hadPredecessor }
+// HadPredecessor reports whether there was an earlier holder, however its term ended.
+func (l *Lease) HadPredecessor() bool { return l.hadPredecessor }
 
-// Lost makes this candidate stop holding the lease at once, because a server reported a higher fencing
+// Revoke makes this candidate stop holding the lease at once, because a server reported a higher fencing
 // token.
-func (l *Lease) Lost() {
+func (l *Lease) Revoke() {
 	l.held = false
 	l.known = false
 }
@@ -321,13 +321,13 @@
 // Leave makes this candidate hand the lease back and never take it again.
 func (l *Lease) Leave() { l.leaving = true }
 
-// StandAside makes this candidate hand the lease back, and not take it while yielding is true.
-func (l *Lease) StandAside(yielding bool) { l.yielding = yielding }
+// Yield makes this candidate hand the lease back, and not take it while yielding is true.
+func (l *Lease) Yield(yielding bool) { l.yielding = yielding }
 
 // handsBack reports whether this candidate hands the lease back.
 func (l *Lease) handsBack() bool { return l.leaving || l.yielding }
 
-// HandedBack reports whether the lease is no longer held after Leave or StandAside.
+// HandedBack reports whether the lease is no longer held after Leave or Yield.
 func (l *Lease) HandedBack() bool { return l.handsBack() && !l.held }
 
 // Left reports whether the lease is no longer held after Leave.
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -116,11 +116,11 @@
 					c.lease.EraLearned(now, s.era)
 				case 3, 4:
 					if len(released) > 0 {
-						c.lease.HeardReleased(now, rapid.SampledFrom(released).Draw(t, "place"))
+						c.lease.ObserveRelease(now, rapid.SampledFrom(released).Draw(t, "place"))
 					}
 				case 6, 7:
 					c.yielding = !c.yielding
-					c.lease.StandAside(c.yielding)
+					c.lease.Yield(c.yielding)
 				}
 				if !c.paused {
 					c.run(t, s, now)
@@ -163,7 +163,7 @@
 		// The answer of a call that was pending during a pause arrives late.
 		outcome, stored := s.call(*c.pending)
 		c.pending = nil
-		c.lease.Answered(now, outcome, stored)
+		c.lease.CallFinished(now, outcome, stored)
 	}
 	call := c.lease.Step(now, true)
 	if call == nil {
@@ -171,15 +171,15 @@
 	}
 	switch rapid.IntRange(0, 9).Draw(t, "fate") {
 	case 0:
-		c.lease.Answered(now, lease.OutcomeFailed, lease.Stored{})
+		c.lease.CallFinished(now, lease.OutcomeFailed, lease.Stored{})
 	case 1:
 		s.call(*call)
-		c.lease.Answered(now, lease.OutcomeFailed, lease.Stored{})
+		c.lease.CallFinished(now, lease.OutcomeFailed, lease.Stored{})
 	case 2:
 		c.pending = call
 	default:
 		outcome, stored := s.call(*call)
-		c.lease.Answered(now, outcome, stored)
+		c.lease.CallFinished(now, outcome, stored)
 	}
 }
 
@@ -188,7 +188,7 @@
 	for end := now.Add(span); now.Before(end); now = now.Add(50 * time.Millisecond) {
 		if call := c.lease.Step(now, true); call != nil {
 			outcome, stored := s.call(*call)
-			c.lease.Answered(now, outcome, stored)
+			c.lease.CallFinished(now, outcome, stored)
 		}
 	}
 	return now
@@ -210,7 +210,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := &store{}
 			settings := lease.DefaultSettings(term)
-			settings.OrderPause = c.pause
+			settings.TakeoverOrderDelay = c.pause
 			first := &candidate{lease: lease.New("first", "1", settings)}
 			second := &candidate{lease: lease.New("second", "1", settings)}
 			now := drive(first, s, time.Unix(1000, 0), 2*time.Second)
@@ -254,7 +254,7 @@
 	first := newCandidate("first", 1)
 	now := drive(first, s, time.Unix(1000, 0), 2*time.Second)
 	second := newCandidate("second", 1)
-	second.lease.Heard(now, first.lease.Place())
+	second.lease.ObserveRenewal(now, first.lease.Place())
 	now = now.Add(term)
 	now = drive(second, s, now, 200*time.Millisecond)
 	if !second.lease.Held(now) {
@@ -271,10 +271,10 @@
 	for range 4 {
 		if call := again.lease.Step(now, false); call != nil {
 			outcome, stored := s.call(*call)
-			again.lease.Answered(now, outcome, stored)
+			again.lease.CallFinished(now, outcome, stored)
 		}
 	}
-	if fence, may := again.lease.MayOrder(now); !may || fence != s.revision || !again.lease.Succeeded() {
+	if fence, may := again.lease.MayOrder(now); !may || fence != s.revision || !again.lease.HadPredecessor() {
 		t.Fatalf("fence %d, may order %v at revision %d", fence, may, s.revision)
 	}
 	other := newCandidate("other", 1)
@@ -284,7 +284,7 @@
 				t.Fatal("a candidate that is not eager takes over the lease of another")
 			}
 			outcome, stored := s.call(*call)
-			other.lease.Answered(now, outcome, stored)
+			other.lease.CallFinished(now, outcome, stored)
 		}
 	}
 }
@@ -297,8 +297,8 @@
 	if call := c.lease.Step(now, false); call == nil || !call.MayLag {
 		t.Fatalf("the first call is %+v", call)
 	}
-	c.lease.Heard(now, history.At(0, 9))
-	c.lease.Answered(now, lease.OutcomeConflict, lease.Stored{Record: lease.Record{Holder: "b"}, At: history.At(0, 5)})
+	c.lease.ObserveRenewal(now, history.At(0, 9))
+	c.lease.CallFinished(now, lease.OutcomeConflict, lease.Stored{Record: lease.Record{Holder: "b"}, At: history.At(0, 5)})
 	if place := c.lease.Place(); place != history.At(0, 9) {
 		t.Errorf("place %v after a reported renewal at 9", place)
 	}
@@ -337,7 +337,7 @@
 	if leaving.lease.Held(now) {
 		t.Error("the candidate still holds the lease that it may have handed back")
 	}
-	next.lease.HeardReleased(now, history.At(0, s.revision))
+	next.lease.ObserveRelease(now, history.At(0, s.revision))
 	if now = drive(next, s, now, 100*time.Millisecond); !next.lease.Held(now) {
 		t.Error("the next candidate does not take the returned lease at once")
 	}
@@ -353,12 +353,12 @@
 	if !held {
 		t.Fatal("the lease is not held")
 	}
-	c.lease.StandAside(true)
+	c.lease.Yield(true)
 	now = drive(c, s, now, 2*term)
 	if c.lease.Held(now) || !c.lease.HandedBack() || c.lease.Left() || s.stored.Record.Holder != "" {
 		t.Errorf("held %t, handed back %t, left %t, holder %q", c.lease.Held(now), c.lease.HandedBack(), c.lease.Left(), s.stored.Record.Holder)
 	}
-	c.lease.StandAside(false)
+	c.lease.Yield(false)
 	now = drive(c, s, now, term)
 	if after, held := c.lease.MayOrder(now); !held || after <= before {
 		t.Errorf("held %t under token %d, %d before", held, after, before)
--- a/lease/record.go
+++ b/lease/record.go
@@ -40,10 +40,10 @@
 type Settings struct {
 	// Term is how long a renewal lasts.
 	Term time.Duration
-	// RenewEvery is the interval between two renewals.
-	RenewEvery time.Duration
-	// OrderPause is how long a holder that took over from another one sends no orders.
-	OrderPause time.Duration
+	// RenewInterval is the interval between two renewals.
+	RenewInterval time.Duration
+	// TakeoverOrderDelay is how long a holder that took over from another one sends no orders.
+	TakeoverOrderDelay time.Duration
 	// Margin is how long before the end of the term the holder stops.
 	Margin time.Duration
 	// CallTimeout is the timeout of a call.
@@ -53,7 +53,7 @@
 // DefaultSettings returns settings for a term, for servers that check no fencing token: orders of two
 // holders then must never alternate within a term.
 func DefaultSettings(term time.Duration) Settings {
-	return Settings{Term: term, RenewEvery: term / 3, OrderPause: term, Margin: term / 6, CallTimeout: term / 4}
+	return Settings{Term: term, RenewInterval: term / 3, TakeoverOrderDelay: term, Margin: term / 6, CallTimeout: term / 4}
 }
 
 // Call is a call for the driver to make: a read of the record, or a write.
--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -42,9 +42,9 @@
 	Subject string      `msgpack:"t"`
 	Cost    float64     `msgpack:"c"`
 	Limit   quota.Limit `msgpack:"l"`
-	// Within is how long the request may wait for its turn, the moment at which it may run.
-	Within time.Duration `msgpack:"w,omitempty"`
-	Return bool          `msgpack:"r,omitempty"`
+	// MaxWait is how long the request may wait for its turn, the moment at which it may run.
+	MaxWait time.Duration `msgpack:"w,omitempty"`
+	Refund  bool          `msgpack:"r,omitempty"`
 }
 
 // Answer is the response to an Ask.
@@ -53,8 +53,8 @@
 	Granted bool   `msgpack:"g,omitempty"`
 	// Wait is the time until tokens are available, or if granted, until the grant may be used.
 	Wait time.Duration `msgpack:"w,omitempty"`
-	// Owner is the daemon to query instead; empty if the answer is final.
-	Owner string `msgpack:"o,omitempty"`
+	// RedirectTo is the daemon to query instead; empty if the answer is final.
+	RedirectTo string `msgpack:"o,omitempty"`
 }
 
 // Subjects are the subjects with limits in this daemon's copy of the configuration. It is immutable.
@@ -70,8 +70,8 @@
 	Subject string
 	Limit   quota.Limit
 	Cost    float64
-	// Within is how long the request may wait for its turn, the moment at which it may run.
-	Within time.Duration
+	// MaxWait is how long the request may wait for its turn, the moment at which it may run.
+	MaxWait time.Duration
 }
 
 // Ports are the settings and functions that a limiter needs from its daemon. All functions are called from several
@@ -94,12 +94,12 @@
 	// reach, and a new owner denies requests at first. Daemons that reach each other then never grant one limit
 	// concurrently.
 	OwnerOnly bool
-	// Debt is how many units a daemon that begins to grant a limit assumes to be granted already.
-	Debt float64
-	// Opening returns the level of the bucket with which a daemon begins to grant a limit; nil means minus Debt. It
+	// InitialDebt is how many units a daemon that begins to grant a limit assumes to be granted already.
+	InitialDebt float64
+	// InitialLevel returns the level of the bucket with which a daemon begins to grant a limit; nil means minus Debt. It
 	// must not call the limiter.
-	Opening func(subject string) float64
-	Log     func(text string, fields ...any)
+	InitialLevel func(subject string) float64
+	Log          func(text string, fields ...any)
 }
 
 // Outcome is the result of a request for use.
@@ -116,7 +116,7 @@
 // Limiter is safe for concurrent use.
 type Limiter struct {
 	ports   Ports
-	buckets *quota.Keeper
+	buckets *quota.Buckets
 	fleet   atomic.Pointer[quota.Fleet]
 	calls   *calls.Calls[*Answer]
 
@@ -127,9 +127,9 @@
 
 // New returns a limiter without other daemons; SetFleet adds them.
 func New(ports Ports) *Limiter {
-	buckets := quota.NewKeeperInDebt(ports.Debt)
-	if ports.Opening != nil {
-		buckets = quota.NewKeeperFrom(ports.Opening)
+	buckets := quota.NewBucketsInDebt(ports.InitialDebt)
+	if ports.InitialLevel != nil {
+		buckets = quota.NewBucketsWithLevel(ports.InitialLevel)
 	}
 	l := &Limiter{ports: ports, buckets: buckets, calls: calls.New[*Answer](), deniedUntil: map[string]time.Time{}}
 	l.fleet.Store(quota.NewFleet(ports.Self, nil, 1, 0))
@@ -145,7 +145,7 @@
 
 // Take takes the cost of one request.
 func (l *Limiter) Take(ctx context.Context, request Request) Outcome {
-	if left := l.remainingDenial(request.Subject); left > request.Within {
+	if left := l.remainingDenial(request.Subject); left > request.MaxWait {
 		return Outcome{Wait: left}
 	}
 	fleet := l.fleet.Load()
@@ -154,10 +154,10 @@
 			return l.recordOutcome(request.Subject, answer, answeredBy)
 		}
 	}
-	if l.ports.Strict && !fleet.Lonely {
+	if l.ports.Strict && !fleet.Isolated {
 		return Outcome{Unsure: true}
 	}
-	if l.buckets.TakeAlone(l.now(), fleet, request.Subject, &request.Limit, request.Cost) {
+	if l.buckets.TakeLocal(l.now(), fleet, request.Subject, &request.Limit, request.Cost) {
 		return Outcome{Granted: true}
 	}
 	return Outcome{Unsure: true}
@@ -169,20 +169,20 @@
 ) (answer quota.Answer, answeredBy string, answered bool) {
 	answeredBy = owner
 	answer, answered = l.query(ctx, fleet, answeredBy, request)
-	if answered && answer.Owner != "" {
-		answeredBy = answer.Owner
+	if answered && answer.RedirectTo != "" {
+		answeredBy = answer.RedirectTo
 		answer, answered = l.query(ctx, fleet, answeredBy, request)
 	}
-	return answer, answeredBy, answered && answer.Owner == ""
+	return answer, answeredBy, answered && answer.RedirectTo == ""
 }
 
 // query takes the cost of one request from one daemon, which may be this one.
 func (l *Limiter) query(ctx context.Context, fleet *quota.Fleet, owner string, request *Request) (quota.Answer, bool) {
 	switch {
-	case owner == "" || fleet.Lonely:
+	case owner == "" || fleet.Isolated:
 		return quota.Answer{}, false
 	case owner == fleet.Self:
-		return l.takeLocal(l.now(), fleet, request.Subject, &request.Limit, request.Cost, request.Within), true
+		return l.takeLocal(l.now(), fleet, request.Subject, &request.Limit, request.Cost, request.MaxWait), true
 	}
 	address, found := l.ports.Address(owner)
 	if !found || l.calls.Rests(owner) {
@@ -190,14 +190,14 @@
 	}
 	answer, answered := l.calls.Ask(ctx, answerTimeout, func(id uint64) {
 		l.ports.Send(address, &Message{Ask: &Ask{
-			ID: id, Subject: request.Subject, Cost: request.Cost, Limit: request.Limit, Within: request.Within,
+			ID: id, Subject: request.Subject, Cost: request.Cost, Limit: request.Limit, MaxWait: request.MaxWait,
 		}})
 	})
 	if !answered {
 		l.backOffFrom(ctx, owner, request.Subject)
 		return quota.Answer{}, false
 	}
-	return quota.Answer{Granted: answer.Granted, Wait: answer.Wait, Owner: answer.Owner}, true
+	return quota.Answer{Granted: answer.Granted, Wait: answer.Wait, RedirectTo: answer.RedirectTo}, true
 }
 
 // takeLocal takes the cost of one request from this daemon's buckets.
@@ -237,21 +237,21 @@
 	return l.deniedUntil[name].Sub(l.now())
 }
 
-// Return refunds what was taken a moment ago and is not used. The refund goes to the present owner,
+// Refund refunds what was taken a moment ago and is not used. The refund goes to the present owner,
 // as the daemon that granted it is not recorded. What one daemon granted is available again also if
 // another one receives the refund.
-func (l *Limiter) Return(request Request) {
+func (l *Limiter) Refund(request Request) {
 	fleet := l.fleet.Load()
 	owners := fleet.Owners(request.Subject)
 	if len(owners) == 0 {
 		return
 	}
 	if owners[0] == fleet.Self {
-		l.buckets.Return(l.now(), fleet, request.Subject, &request.Limit, request.Cost)
+		l.buckets.Refund(l.now(), fleet, request.Subject, &request.Limit, request.Cost)
 		return
 	}
 	if address, found := l.ports.Address(owners[0]); found {
-		l.ports.Send(address, &Message{Ask: &Ask{Subject: request.Subject, Cost: request.Cost, Limit: request.Limit, Return: true}})
+		l.ports.Send(address, &Message{Ask: &Ask{Subject: request.Subject, Cost: request.Cost, Limit: request.Limit, Refund: true}})
 	}
 }
 
@@ -271,16 +271,16 @@
 func (l *Limiter) answerAsk(from string, ask *Ask) {
 	now, fleet := l.now(), l.fleet.Load()
 	limit := l.limitOf(ask)
-	if ask.Return {
-		l.buckets.Return(now, fleet, ask.Subject, limit, ask.Cost)
+	if ask.Refund {
+		l.buckets.Refund(now, fleet, ask.Subject, limit, ask.Cost)
 		return
 	}
 	address, known := l.ports.Address(from)
 	if !known {
 		return
 	}
-	result := l.takeLocal(now, fleet, ask.Subject, limit, ask.Cost, ask.Within)
-	l.ports.Send(address, &Message{Answer: &Answer{ID: ask.ID, Granted: result.Granted, Wait: result.Wait, Owner: result.Owner}})
+	result := l.takeLocal(now, fleet, ask.Subject, limit, ask.Cost, ask.MaxWait)
+	l.ports.Send(address, &Message{Answer: &Answer{ID: ask.ID, Granted: result.Granted, Wait: result.Wait, RedirectTo: result.RedirectTo}})
 }
 
 // limitOf is the limit of a subject by the local configuration, or by the requesting daemon if the
@@ -317,8 +317,8 @@
 			owned = append(owned, name)
 		}
 	}
-	l.sendClaims(fleet, l.buckets.Own(now, fleet, owned))
-	l.buckets.Forget(func(name string) bool {
+	l.sendClaims(fleet, l.buckets.SetOwned(now, fleet, owned))
+	l.buckets.Prune(func(name string) bool {
 		_, known := subjects.Rate(name)
 		return known
 	})
@@ -359,7 +359,7 @@
 	for _, name := range subjects {
 		switch {
 		case fleet.Precedes(from, name):
-			l.buckets.Yield(now, name, from)
+			l.buckets.RecordClaim(now, name, from)
 		case fleet.RoleOf(name) == quota.RoleOwner:
 			retained = append(retained, name)
 		}
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -179,7 +179,7 @@
 		if !n.take(other, 5).Granted || n.take(other, 1).Granted {
 			t.Fatal("the first request is denied, or a bucket with a negative level grants another")
 		}
-		n.limiters[other].Return(n.request(5))
+		n.limiters[other].Refund(n.request(5))
 		n.run(2 * denialTTL)
 		if !n.take(other, 1).Granted {
 			t.Error("returned units are not granted again")
--- a/member/detector_test.go
+++ b/member/detector_test.go
@@ -378,7 +378,7 @@
 	for _, ack := range joiner.Receive(g.now, ping) {
 		g.detectors[0].Receive(g.now, ack.Message)
 	}
-	first := joiner.Tell("d0")
+	first := joiner.PingFor("d0")
 	if answers := g.detectors[0].Receive(g.now, first.Message); len(answers) != 1 || len(answers[0].Message.BackEnds) != 20 {
 		t.Fatalf("answers to the first ping: got %+v, want one with 20 back ends", answers)
 	}
--- a/member/exchange_test.go
+++ b/member/exchange_test.go
@@ -48,7 +48,7 @@
 		pair[1].Receive(now, member.Message{Kind: member.Ping, Sender: pair[0].Self()})
 	}
 	now = now.Add(time.Minute)
-	sent, total := []member.Packet{b.Tell("a")}, 0
+	sent, total := []member.Packet{b.PingFor("a")}, 0
 	for round := 0; len(sent) > 0 && round < 6; round++ {
 		receiver := a
 		if round%2 == 1 {
--- a/member/merge.go
+++ b/member/merge.go
@@ -58,7 +58,7 @@
 // from the join, since this daemon may learn of a member before that member's first ping arrives.
 func (d *Detector) ackFor(now time.Time, message Message) Message {
 	ack := d.message(Ack, message.Sequence)
-	ack.KnowsLeaving = d.members[message.Sender.Name].Leaving
+	ack.LeavingKnown = d.members[message.Sender.Name].Leaving
 	if known := d.members[message.Sender.Name]; known.State >= Suspect || known.Incarnation > message.Sender.Incarnation {
 		// The sender needs this entry to refute it.
 		ack.Members = append(ack.Members, known.Member)
@@ -66,7 +66,7 @@
 	ack.Complete = d.hasFullState() && message.Digest == ack.Digest
 	switch {
 	case message.Digest == ack.Digest:
-	case d.markFullStateSent(message.Sender) || message.Uninformed:
+	case d.markFullStateSent(message.Sender) || message.LacksFullState:
 		d.lastExchange = now
 		ack.Complete = d.hasFullState()
 		ack.Members = d.Members()
--- a/member/probe.go
+++ b/member/probe.go
@@ -89,7 +89,7 @@
 // seconds to reach a large group, while every daemon that lacks them sends clients to a daemon that
 // is gone.
 func (d *Detector) sendRumors(now time.Time, packets []Packet) []Packet {
-	if now.Sub(d.lastRumorAt) < d.settings.RumorPause || !d.memberUpdates.urgentPending(d.settings.RumorFanOut) {
+	if now.Sub(d.lastRumorAt) < d.settings.RumorInterval || !d.memberUpdates.urgentPending(d.settings.RumorFanOut) {
 		return packets
 	}
 	d.lastRumorAt = now
@@ -291,19 +291,19 @@
 func (d *Detector) message(kind MessageKind, sequence uint64) Message {
 	size := len(d.members) + 1
 	return Message{
-		Kind:       kind,
-		Sequence:   sequence,
-		Sender:     d.self,
-		Digest:     d.digest.sum(),
-		Members:    d.memberUpdates.take(d.settings.NewsPerMessage, size),
-		BackEnds:   d.backEndUpdates.take(d.settings.NewsPerMessage, size),
-		Uninformed: kind == Ping && !d.hasFullState(),
+		Kind:           kind,
+		Sequence:       sequence,
+		Sender:         d.self,
+		Digest:         d.digest.sum(),
+		Members:        d.memberUpdates.take(d.settings.UpdatesPerMessage, size),
+		BackEnds:       d.backEndUpdates.take(d.settings.UpdatesPerMessage, size),
+		LacksFullState: kind == Ping && !d.hasFullState(),
 	}
 }
 
-// Tell returns a direct probe of one member, which carries this daemon's own state. Its
+// PingFor returns a direct probe of one member, which carries this daemon's own state. Its
 // acknowledgement is handled like any other.
-func (d *Detector) Tell(name string) Packet {
+func (d *Detector) PingFor(name string) Packet {
 	d.sequence++
 	return Packet{d.members[name].PeerAddress, d.message(Ping, d.sequence)}
 }
--- a/member/types.go
+++ b/member/types.go
@@ -110,9 +110,9 @@
 	Target string `msgpack:"t,omitempty"`
 	// Sender is the sender's own entry, so that a receiver to which it is unknown can add it.
 	Sender Member `msgpack:"f"`
-	// KnowsLeaving reports, in an Ack, that the answering daemon has the sender of the Ping as
+	// LeavingKnown reports, in an Ack, that the answering daemon has the sender of the Ping as
 	// leaving.
-	KnowsLeaving bool `msgpack:"w,omitempty"`
+	LeavingKnown bool `msgpack:"w,omitempty"`
 	// Digest is the checksum of the members and back ends in the sender's view.
 	Digest uint64 `msgpack:"d,omitempty"`
 	// Buckets are the parts of that digest for the members. The receiver answers with an Exchange
@@ -120,9 +120,9 @@
 	Buckets  []uint32  `msgpack:"h,omitempty"`
 	Members  []Member  `msgpack:"m,omitempty"`
 	BackEnds []BackEnd `msgpack:"b,omitempty"`
-	// Uninformed reports, in a Ping, that the sender started recently and has not received the full
+	// LacksFullState reports, in a Ping, that the sender started recently and has not received the full
 	// state yet.
-	Uninformed bool `msgpack:"u,omitempty"`
+	LacksFullState bool `msgpack:"u,omitempty"`
 	// Complete reports, in an Ack, that the answering daemon itself has the full state and that,
 	// with this Ack, the sender of the Ping has all of it too.
 	Complete bool `msgpack:"c,omitempty"`
@@ -148,12 +148,12 @@
 	// ExchangeInterval is the minimum time between two answers that begin an exchange, to senders
 	// whose digest differs.
 	ExchangeInterval time.Duration
-	// NewsPerMessage bounds the updates about members, and those about back ends, in one message.
-	NewsPerMessage int
+	// UpdatesPerMessage bounds the updates about members, and those about back ends, in one message.
+	UpdatesPerMessage int
 	// RumorFanOut is how many members each daemon forwards an urgent update to as soon as it
-	// receives it. RumorPause is the minimum interval between two such rounds.
-	RumorFanOut int
-	RumorPause  time.Duration
+	// receives it. RumorInterval is the minimum interval between two such rounds.
+	RumorFanOut   int
+	RumorInterval time.Duration
 }
 
 // DefaultSettings returns settings that detect a dead daemon in about five seconds with a few
@@ -164,10 +164,10 @@
 		ProbeTimeout:       300 * time.Millisecond,
 		SuspicionIntervals: 2,
 		Helpers:            3,
-		NewsPerMessage:     6,
+		UpdatesPerMessage:  6,
 		// With a fan-out of four, rumors alone reach 98% of a group; probes reach the rest.
-		RumorFanOut: 4,
-		RumorPause:  100 * time.Millisecond,
+		RumorFanOut:   4,
+		RumorInterval: 100 * time.Millisecond,
 
 		ExchangeInterval: 20 * time.Second,
 	}
--- a/nearest/nearest.go
+++ b/nearest/nearest.go
@@ -1,9 +1,9 @@
 // Package nearest finds the valid word that is closest to a mistyped word.
 package nearest
 
-// Word returns the candidate with the smallest edit distance to a word, or ""
+// Match returns the candidate with the smallest edit distance to a word, or ""
 // if no candidate is within half of the word's length plus one byte.
-func Word(word string, candidates []string) string {
+func Match(word string, candidates []string) string {
 	best, bestDistance := "", len(word)/2+2
 	for _, candidate := range candidates {
 		if distance := distanceBetween(word, candidate); distance < bestDistance {
--- a/notice/tracker.go
+++ b/notice/tracker.go
@@ -20,8 +20,8 @@
 	removedLimitTTL = time.Minute
 )
 
-// Book tracks the notices of instances. It is not safe for concurrent use.
-type Book struct {
+// Tracker tracks the notices of instances. It is not safe for concurrent use.
+type Tracker struct {
 	records map[string]*record
 }
 
@@ -45,8 +45,8 @@
 	receivedAt time.Time
 }
 
-// NewBook returns an empty Book.
-func NewBook() *Book { return &Book{records: map[string]*record{}} }
+// NewTracker returns an empty Tracker.
+func NewTracker() *Tracker { return &Tracker{records: map[string]*record{}} }
 
 // Change is a change of the state of one instance.
 type Change struct {
@@ -55,37 +55,37 @@
 	Leaving bool
 	// Limited means that the instance states a limit from now on, of PerSecond, and Lifted that it no longer has
 	// one.
-	Limited   bool
-	PerSecond float64
-	Lifted    bool
-	// RestUntil is the end of a backoff that the instance requested from this daemon; zero if it requested none.
-	RestUntil time.Time
+	Limited      bool
+	PerSecond    float64
+	LimitRemoved bool
+	// BackoffUntil is the end of a backoff that the instance requested from this daemon; zero if it requested none.
+	BackoffUntil time.Time
 }
 
 // Empty reports whether nothing has changed.
-func (c *Change) Empty() bool { return !c.Shared() && c.RestUntil.IsZero() }
+func (c *Change) Empty() bool { return !c.MustBroadcast() && c.BackoffUntil.IsZero() }
 
-// Shared reports whether the change must be sent to the other daemons.
-func (c *Change) Shared() bool { return c.Leaving || c.Limited || c.Lifted }
+// MustBroadcast reports whether the change must be sent to the other daemons.
+func (c *Change) MustBroadcast() bool { return c.Leaving || c.Limited || c.LimitRemoved }
 
-// Hear records a notice that this daemon received from an instance itself.
-func (b *Book) Hear(now time.Time, observed *fleet.Heard) Change {
+// Observe records a notice that this daemon received from an instance itself.
+func (t *Tracker) Observe(now time.Time, observed *fleet.ObservedNotice) Change {
 	change := Change{Instance: observed.Instance}
 	stated := &observed.Notice
-	entry := b.records[observed.Instance]
+	entry := t.records[observed.Instance]
 	if entry == nil {
-		if !stated.Leaving && !stated.Limit.Named && stated.Rest <= 0 {
+		if !stated.Leaving && !stated.Limit.Named && stated.Backoff <= 0 {
 			return change
 		}
 		entry = &record{}
-		b.records[observed.Instance] = entry
+		t.records[observed.Instance] = entry
 	}
 	entry.lastSeenAt = now
 	if stated.Leaving && !entry.leaving {
 		entry.leaving, change.Leaving = true, true
 	}
-	if until := now.Add(stated.Rest); stated.Rest > 0 && until.After(entry.backoffUntil) {
-		entry.backoffUntil, change.RestUntil = until, until
+	if until := now.Add(stated.Backoff); stated.Backoff > 0 && until.After(entry.backoffUntil) {
+		entry.backoffUntil, change.BackoffUntil = until, until
 	}
 	if entry.limit.supersededBy(observed) {
 		entry.limit = limit{
@@ -99,7 +99,7 @@
 
 // supersededBy reports whether a response changes the known limit. One that may be older than the known state
 // counts only if it lowers the limit: responses on different connections may be reordered.
-func (l *limit) supersededBy(observed *fleet.Heard) bool {
+func (l *limit) supersededBy(observed *fleet.ObservedNotice) bool {
 	stated := observed.Notice.Limit
 	switch {
 	case stated.Unreadable:
@@ -114,7 +114,7 @@
 }
 
 func (l *limit) fill(change *Change) {
-	change.Limited, change.PerSecond, change.Lifted = l.named, l.perSecond, !l.named
+	change.Limited, change.PerSecond, change.LimitRemoved = l.named, l.perSecond, !l.named
 }
 
 // newerThan reports whether this state takes precedence over another daemon's.
@@ -129,18 +129,18 @@
 	}
 }
 
-// RestUntil returns until when this daemon must send no requests to an instance.
-func (b *Book) RestUntil(instance string) time.Time {
-	if entry := b.records[instance]; entry != nil {
+// BackoffUntil returns until when this daemon must send no requests to an instance.
+func (t *Tracker) BackoffUntil(instance string) time.Time {
+	if entry := t.records[instance]; entry != nil {
 		return entry.backoffUntil
 	}
 	return time.Time{}
 }
 
-// Resting returns the instances that have requested a backoff from this daemon, with its end.
-func (b *Book) Resting(now time.Time) map[string]time.Time {
+// BackingOff returns the instances that have requested a backoff from this daemon, with its end.
+func (t *Tracker) BackingOff(now time.Time) map[string]time.Time {
 	backingOff := map[string]time.Time{}
-	for instance, entry := range b.records {
+	for instance, entry := range t.records {
 		if now.Before(entry.backoffUntil) {
 			backingOff[instance] = entry.backoffUntil
 		}
@@ -149,16 +149,16 @@
 }
 
 // Leaving reports whether an instance has stated that it is leaving.
-func (b *Book) Leaving(instance string) bool {
-	entry := b.records[instance]
+func (t *Tracker) Leaving(instance string) bool {
+	entry := t.records[instance]
 	return entry != nil && entry.leaving
 }
 
-// LeavingNow returns the instances that have stated that they are leaving, and that were listed or sent a notice
+// RecentlyLeaving returns the instances that have stated that they are leaving, and that were listed or sent a notice
 // within broadcastWindow.
-func (b *Book) LeavingNow(now time.Time) []string {
+func (t *Tracker) RecentlyLeaving(now time.Time) []string {
 	var leaving []string
-	for instance, entry := range b.records {
+	for instance, entry := range t.records {
 		if entry.leaving && now.Sub(entry.lastSeenAt) < broadcastWindow {
 			leaving = append(leaving, instance)
 		}
@@ -167,8 +167,8 @@
 }
 
 // Limit returns how many requests per second an instance accepts from all daemons together, if it states a limit.
-func (b *Book) Limit(instance string) (perSecond float64, limited bool) {
-	entry := b.records[instance]
+func (t *Tracker) Limit(instance string) (perSecond float64, limited bool) {
+	entry := t.records[instance]
 	if entry == nil || !entry.limit.named {
 		return 0, false
 	}
@@ -176,11 +176,11 @@
 }
 
 // Empty reports whether no state is kept of any instance.
-func (b *Book) Empty() bool { return len(b.records) == 0 }
+func (t *Tracker) Empty() bool { return len(t.records) == 0 }
 
 // Counts returns how many instances are leaving, are limited and have requested a backoff.
-func (b *Book) Counts(now time.Time) (leaving, limited, backingOff int) {
-	for _, entry := range b.records {
+func (t *Tracker) Counts(now time.Time) (leaving, limited, backingOff int) {
+	for _, entry := range t.records {
 		if entry.leaving {
 			leaving++
 		}
@@ -194,14 +194,14 @@
 	return leaving, limited, backingOff
 }
 
-// Forget removes expired state. Listed reports whether an instance is in the list of instances.
-func (b *Book) Forget(now time.Time, listed func(instance string) bool) {
-	for instance, entry := range b.records {
+// Prune removes expired state. Listed reports whether an instance is in the list of instances.
+func (t *Tracker) Prune(now time.Time, listed func(instance string) bool) {
+	for instance, entry := range t.records {
 		if listed(instance) {
 			entry.lastSeenAt = now
 		}
 		if entry.expired(now) {
-			delete(b.records, instance)
+			delete(t.records, instance)
 		}
 	}
 }
--- a/notice/tracker_test.go
+++ b/notice/tracker_test.go
@@ -14,18 +14,20 @@
 
 func at(milliseconds int) time.Time { return start.Add(time.Duration(milliseconds) * time.Millisecond) }
 
-func limited(sent int, perSecond float64) *fleet.Heard {
-	return &fleet.Heard{Instance: "i", SentAt: at(sent), Notice: fleet.Notice{Limit: fleet.LimitNotice{Named: true, PerSecond: perSecond}}}
+func limited(sent int, perSecond float64) *fleet.ObservedNotice {
+	return &fleet.ObservedNotice{Instance: "i", SentAt: at(sent), Notice: fleet.Notice{Limit: fleet.LimitNotice{Named: true, PerSecond: perSecond}}}
 }
 
-func withoutLimit(sent int) *fleet.Heard { return &fleet.Heard{Instance: "i", SentAt: at(sent)} }
+func withoutLimit(sent int) *fleet.ObservedNotice {
+	return &fleet.ObservedNotice{Instance: "i", SentAt: at(sent)}
+}
 
 // TestLimitFollowsTheNewestAnswer covers reordered responses: one that may be older neither removes nor raises a
 // limit, but may lower it.
 func TestLimitFollowsTheNewestAnswer(t *testing.T) {
 	type step struct {
 		now       int
-		observed  *fleet.Heard
+		observed  *fleet.ObservedNotice
 		limited   bool
 		perSecond float64
 	}
@@ -46,9 +48,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			tracker := NewBook()
+			tracker := NewTracker()
 			for i, s := range c.steps {
-				tracker.Hear(at(s.now), s.observed)
+				tracker.Observe(at(s.now), s.observed)
 				if perSecond, isLimited := tracker.Limit("i"); isLimited != s.limited || perSecond != s.perSecond {
 					t.Errorf("step %d: limited %t to %v", i, isLimited, perSecond)
 				}
@@ -59,30 +61,30 @@
 
 // TestShorterRestDoesNotEndALongerOne covers an instance that requests a second, shorter backoff.
 func TestShorterRestDoesNotEndALongerOne(t *testing.T) {
-	tracker := NewBook()
-	backoff := func(duration time.Duration) *fleet.Heard {
-		return &fleet.Heard{Instance: "i", Notice: fleet.Notice{Rest: duration}}
+	tracker := NewTracker()
+	backoff := func(duration time.Duration) *fleet.ObservedNotice {
+		return &fleet.ObservedNotice{Instance: "i", Notice: fleet.Notice{Backoff: duration}}
 	}
-	tracker.Hear(at(0), backoff(3*time.Second))
-	tracker.Hear(at(100), backoff(time.Second))
-	tracker.Hear(at(200), withoutLimit(150))
-	if until := tracker.RestUntil("i"); !until.Equal(at(3000)) {
+	tracker.Observe(at(0), backoff(3*time.Second))
+	tracker.Observe(at(100), backoff(time.Second))
+	tracker.Observe(at(200), withoutLimit(150))
+	if until := tracker.BackoffUntil("i"); !until.Equal(at(3000)) {
 		t.Errorf("backoff until %v, want %v", until, at(3000))
 	}
 }
 
 // TestWordOfAnInstanceOutlastsTheList covers instances that are missing from the list for a while.
 func TestWordOfAnInstanceOutlastsTheList(t *testing.T) {
-	tracker := NewBook()
-	tracker.Hear(at(0), &fleet.Heard{Instance: "leaves", Notice: fleet.Notice{Leaving: true}})
-	tracker.Hear(at(0), &fleet.Heard{Instance: "rests", Notice: fleet.Notice{Rest: 10 * time.Second}})
-	tracker.Hear(at(0), limited(0, 2))
+	tracker := NewTracker()
+	tracker.Observe(at(0), &fleet.ObservedNotice{Instance: "leaves", Notice: fleet.Notice{Leaving: true}})
+	tracker.Observe(at(0), &fleet.ObservedNotice{Instance: "rests", Notice: fleet.Notice{Backoff: 10 * time.Second}})
+	tracker.Observe(at(0), limited(0, 2))
 	noneListed := func(string) bool { return false }
-	tracker.Forget(at(9000), noneListed)
-	if _, isLimited := tracker.Limit("i"); !tracker.Leaving("leaves") || tracker.RestUntil("rests").IsZero() || !isLimited {
+	tracker.Prune(at(9000), noneListed)
+	if _, isLimited := tracker.Limit("i"); !tracker.Leaving("leaves") || tracker.BackoffUntil("rests").IsZero() || !isLimited {
 		t.Error("state removed before it expired")
 	}
-	tracker.Forget(at(0).Add(2*departedTTL), noneListed)
+	tracker.Prune(at(0).Add(2*departedTTL), noneListed)
 	if !tracker.Empty() {
 		t.Error("state kept after it expired")
 	}
@@ -92,9 +94,9 @@
 // in any order. In the end all of them have the limit of the last response.
 func TestDaemonsAgreeOnLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		trackers := []*Book{NewBook(), NewBook(), NewBook()}
+		trackers := []*Tracker{NewTracker(), NewTracker(), NewTracker()}
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		var last *fleet.Heard
+		var last *fleet.ObservedNotice
 		for i := range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now := 100 * (i + 1)
 			observed := withoutLimit(now - 1)
@@ -102,22 +104,22 @@
 				observed = limited(now-1, float64(1+random.IntN(3)))
 			}
 			one := trackers[random.IntN(len(trackers))]
-			one.Hear(at(now), observed)
+			one.Observe(at(now), observed)
 			if random.IntN(2) == 0 {
-				trackers[random.IntN(len(trackers))].Learn(at(now), one.Newest(at(now)))
+				trackers[random.IntN(len(trackers))].Merge(at(now), one.Recent(at(now)))
 			}
 			last = observed
 		}
 		// All daemons exchange updates, and the last limit is stated once more.
 		for i, one := range trackers {
 			for _, other := range trackers {
-				one.Learn(at(4_000+i), other.Newest(at(4_000)))
+				one.Merge(at(4_000+i), other.Recent(at(4_000)))
 			}
 		}
-		trackers[0].Hear(at(4_200), &fleet.Heard{Instance: "i", SentAt: at(4_100), Notice: last.Notice})
+		trackers[0].Observe(at(4_200), &fleet.ObservedNotice{Instance: "i", SentAt: at(4_100), Notice: last.Notice})
 		for _, one := range trackers {
 			for _, other := range trackers {
-				one.Learn(at(4_201), other.Newest(at(4_201)))
+				one.Merge(at(4_201), other.Recent(at(4_201)))
 			}
 		}
 		for i, one := range trackers {
--- a/notice/update.go
+++ b/notice/update.go
@@ -31,9 +31,9 @@
 // maxUpdateItems bounds the instances of one update, to some 20 kB.
 const maxUpdateItems = 512
 
-// Evidence returns the state of one instance for other daemons.
-func (b *Book) Evidence(instance string) Item {
-	entry := b.records[instance]
+// Snapshot returns the state of one instance for other daemons.
+func (t *Tracker) Snapshot(instance string) Item {
+	entry := t.records[instance]
 	if entry == nil {
 		return Item{Instance: instance}
 	}
@@ -42,13 +42,13 @@
 	}
 }
 
-// Newest returns the state that other daemons may lack, newest first. It covers instances that were listed or sent
+// Recent returns the state that other daemons may lack, newest first. It covers instances that were listed or sent
 // a notice within broadcastWindow.
-func (b *Book) Newest(now time.Time) Update {
+func (t *Tracker) Recent(now time.Time) Update {
 	var update Update
-	for instance, entry := range b.records {
+	for instance, entry := range t.records {
 		if (entry.leaving || entry.limit.change != 0) && now.Sub(entry.lastSeenAt) < broadcastWindow {
-			update.Items = append(update.Items, b.Evidence(instance))
+			update.Items = append(update.Items, t.Snapshot(instance))
 		}
 	}
 	slices.SortFunc(update.Items, func(a, b Item) int { return -cmp.Compare(a.Change, b.Change) })
@@ -56,26 +56,26 @@
 	return update
 }
 
-// Learn merges an update of another daemon, and returns what has changed.
-func (b *Book) Learn(now time.Time, update Update) []Change {
+// Merge merges an update of another daemon, and returns what has changed.
+func (t *Tracker) Merge(now time.Time, update Update) []Change {
 	var changes []Change
 	for i := range update.Items {
-		if change := b.merge(now, &update.Items[i]); !change.Empty() {
+		if change := t.merge(now, &update.Items[i]); !change.Empty() {
 			changes = append(changes, change)
 		}
 	}
 	return changes
 }
 
-func (b *Book) merge(now time.Time, item *Item) Change {
+func (t *Tracker) merge(now time.Time, item *Item) Change {
 	change := Change{Instance: item.Instance}
 	if !item.Leaving && item.Change == 0 {
 		return change
 	}
-	entry := b.records[item.Instance]
+	entry := t.records[item.Instance]
 	if entry == nil {
 		entry = &record{lastSeenAt: now}
-		b.records[item.Instance] = entry
+		t.records[item.Instance] = entry
 	}
 	if item.Leaving && !entry.leaving {
 		entry.leaving, change.Leaving = true, true
--- a/operator/executor.go
+++ b/operator/executor.go
@@ -164,7 +164,7 @@
 
 // unknown refuses a name that does not exist and offers the nearest that does.
 func (e *Executor) unknown(kind api.Kind, what, name string) error {
-	if closest := nearest.Word(name, e.System.Names(kind)); closest != "" {
+	if closest := nearest.Match(name, e.System.Names(kind)); closest != "" {
 		return ErrRefused.New("no %s %q; did you mean %q?", what, name, closest)
 	}
 	return ErrRefused.New("no %s %q", what, name)
--- a/operator/grammar.go
+++ b/operator/grammar.go
@@ -215,7 +215,7 @@
 	if errors.As(err, &unexpected) && unexpected.Unexpected.Type != lexer.EOF {
 		word := unexpected.Unexpected.Value
 		message = fmt.Sprintf("%q does not fit here", word)
-		if closest := nearest.Word(word, Keywords); closest != "" && closest != word {
+		if closest := nearest.Match(word, Keywords); closest != "" && closest != word {
 			message += fmt.Sprintf("; did you mean %q?", closest)
 		} else if unexpected.Expect != "" {
 			message += "; expected " + unexpected.Expect
--- a/operator/result.go
+++ b/operator/result.go
@@ -74,7 +74,7 @@
 	if index >= 0 {
 		return index, nil
 	}
-	if closest := nearest.Word(name, result.Columns); closest != "" {
+	if closest := nearest.Match(name, result.Columns); closest != "" {
 		return 0, ErrRefused.New("no column %q; did you mean %q?", name, closest)
 	}
 	return 0, ErrRefused.New("no column %q; use one of %s", name, strings.Join(result.Columns, ", "))
--- a/pace/entry.go
+++ b/pace/entry.go
@@ -14,8 +14,8 @@
 	// maxMergedSamples bounds the count of a merged entry. The estimate rests on about windowSamples samples, so more
 	// would not change it.
 	maxMergedSamples = 3 * windowSamples
-	// MostEntries bounds the entries of an Update.
-	MostEntries = 64
+	// MaxEntries bounds the entries of an Update.
+	MaxEntries = 64
 )
 
 // Sample is a representative gap between two events of one stream.
@@ -37,12 +37,12 @@
 
 // Update is the message between daemons about the pace of instances.
 type Update struct {
-	// Entries are samples, at most MostEntries.
+	// Entries are samples, at most MaxEntries.
 	Entries []Entry `msgpack:"e,omitempty"`
-	// Factors are the sender's estimates by instance, at most MostFactors. EncodeFactor describes the encoding.
+	// Factors are the sender's estimates by instance, at most MaxFactors. EncodeFactor describes the encoding.
 	Factors map[string]uint8 `msgpack:"f,omitempty"`
-	// Lacking reports that the sender has not received any factors since its start.
-	Lacking bool `msgpack:"a,omitempty"`
+	// FactorsMissing reports that the sender has not received any factors since its start.
+	FactorsMissing bool `msgpack:"a,omitempty"`
 }
 
 // newEntry returns a sample as an entry. It reports false for a sample without a model, or with a gap that is not
--- a/pace/estimate.go
+++ b/pace/estimate.go
@@ -42,13 +42,13 @@
 
 // Summary is the number and the range of the factors in use.
 type Summary struct {
-	Count       int
-	Least, Most float64
+	Count    int
+	Min, Max float64
 }
 
-// Settle estimates all factors from the observations so far and publishes them. It returns those that are new, or that
+// Estimate estimates all factors from the observations so far and publishes them. It returns those that are new, or that
 // differ from the last report by more than reportedChangeRatio.
-func (t *Book) Settle() []Change {
+func (t *Tracker) Estimate() []Change {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if !t.changed {
@@ -67,7 +67,7 @@
 }
 
 // estimateService computes the effects of the instances and models of one service.
-func (t *Book) estimateService(service string, states []*instanceState) {
+func (t *Tracker) estimateService(service string, states []*instanceState) {
 	var models []*modelState
 	for key, model := range t.models {
 		if key.service == service {
@@ -158,7 +158,7 @@
 }
 
 // publish makes the estimates available to readers and returns the changes to report.
-func (t *Book) publish() []Change {
+func (t *Tracker) publish() []Change {
 	var changes []Change
 	next := &snapshot{factors: make(map[string]float64, len(t.instances))}
 	for instance, state := range t.instances {
@@ -178,23 +178,23 @@
 }
 
 // Summary returns the number and the range of the factors in use.
-func (t *Book) Summary() Summary {
+func (t *Tracker) Summary() Summary {
 	published := t.published.Load()
 	summary := Summary{Count: len(published.factors)}
 	for _, factor := range published.factors {
-		if summary.Least == 0 {
-			summary.Least, summary.Most = factor, factor
+		if summary.Min == 0 {
+			summary.Min, summary.Max = factor, factor
 		}
-		summary.Least, summary.Most = min(summary.Least, factor), max(summary.Most, factor)
+		summary.Min, summary.Max = min(summary.Min, factor), max(summary.Max, factor)
 	}
 	return summary
 }
 
-// Factors returns up to MostFactors factors as encoded in an Update: those of the instances that follow after in the
+// Factors returns up to MaxFactors factors as encoded in an Update: those of the instances that follow after in the
 // order of IDs, which wraps around. It also returns the last of these instances.
-func (t *Book) Factors(after string) (factors map[string]uint8, last string) {
+func (t *Tracker) Factors(after string) (factors map[string]uint8, last string) {
 	published := t.published.Load()
-	count := min(MostFactors, len(published.instances))
+	count := min(MaxFactors, len(published.instances))
 	start, found := slices.BinarySearch(published.instances, after)
 	if found {
 		start++
--- a/pace/factor.go
+++ b/pace/factor.go
@@ -7,8 +7,8 @@
 	maxFactor = 4.0
 	// factorSteps is the number of steps between the codes of the smallest and the largest factor. Each is 1.1 %.
 	factorSteps = 254
-	// MostFactors bounds the factors of an Update. At 14 bytes each, a message stays below 8 kB.
-	MostFactors = 512
+	// MaxFactors bounds the factors of an Update. At 14 bytes each, a message stays below 8 kB.
+	MaxFactors = 512
 )
 
 // EncodeFactor encodes a factor as one byte on a logarithmic scale from 1/4 (code 1) to 4 (code 255). The code 0 means
--- a/pace/sharer.go
+++ b/pace/sharer.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// SettlePause is the minimum interval between two estimates.
-	SettlePause = 500 * time.Millisecond
-	// TellPause is the minimum interval between two messages with samples, and between two with factors.
-	TellPause = time.Second
+	// EstimateInterval is the minimum interval between two estimates.
+	EstimateInterval = 500 * time.Millisecond
+	// SendInterval is the minimum interval between two messages with samples, and between two with factors.
+	SendInterval = time.Second
 )
 
-// Place is the role of a daemon in the exchange of samples and factors. Daemons are identified by the names that the
+// Role is the role of a daemon in the exchange of samples and factors. Daemons are identified by the names that the
 // caller of Tick sends messages to.
-type Place struct {
-	// Small means that all daemons send their samples to all others, which are Others.
-	Small bool
+type Role struct {
+	// AllToAll means that all daemons send their samples to all others, which are Others.
+	AllToAll bool
 	// Dispatcher is the dispatcher of this daemon's group in a large fleet; empty if there is none.
 	Dispatcher string
 	// Dispatching means that this daemon is the dispatcher. Members are the other daemons of its group, and Others the
@@ -25,8 +25,8 @@
 	Dispatching bool
 	Members     []string
 	Others      []string
-	// SamplePause replaces TellPause as the minimum interval between two messages with samples if it is longer.
-	SamplePause time.Duration
+	// SampleInterval replaces TellPause as the minimum interval between two messages with samples if it is longer.
+	SampleInterval time.Duration
 }
 
 // Outgoing is a message and its receivers.
@@ -38,7 +38,7 @@
 // Sharer exchanges samples and factors with other daemons: it decides what this daemon sends, and what it accepts from
 // received messages. It is safe for concurrent use.
 type Sharer struct {
-	tracker *Book
+	tracker *Tracker
 
 	// ownMutex is held only briefly, so that the request path never waits for an estimate. It guards own, the samples of
 	// this daemon that are not yet recorded in the tracker.
@@ -48,7 +48,7 @@
 	mutex sync.Mutex
 	// pending are samples that were not sent yet.
 	pending *Batch
-	place   Place
+	place   Role
 	// factorsReceived reports whether this daemon has received factors.
 	factorsReceived bool
 	estimatedAt     time.Time
@@ -68,12 +68,12 @@
 }
 
 // NewSharer returns a Sharer of the samples and factors of a tracker.
-func NewSharer(tracker *Book) *Sharer {
+func NewSharer(tracker *Tracker) *Sharer {
 	return &Sharer{tracker: tracker, own: NewBatch(), pending: NewBatch(), members: map[string]*memberState{}}
 }
 
-// Sampled records a sample of this daemon. It doesn't wait for an estimate.
-func (s *Sharer) Sampled(sample Sample) {
+// AddSample records a sample of this daemon. It doesn't wait for an estimate.
+func (s *Sharer) AddSample(sample Sample) {
 	entry, valid := newEntry(sample)
 	if !valid {
 		return
@@ -83,8 +83,8 @@
 	s.ownMutex.Unlock()
 }
 
-// SetPlace changes the role of this daemon.
-func (s *Sharer) SetPlace(place Place) {
+// SetRole changes the role of this daemon.
+func (s *Sharer) SetRole(place Role) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.place.Dispatching && !place.Dispatching {
@@ -112,12 +112,12 @@
 	place := &s.place
 	if len(update.Factors) > 0 {
 		s.factorsReceived = true
-		s.tracker.Tell(update.Factors, directory, place.Dispatching)
+		s.tracker.MergeFactors(update.Factors, directory, place.Dispatching)
 	}
-	if !place.Small && !place.Dispatching {
+	if !place.AllToAll && !place.Dispatching {
 		return
 	}
-	accepted := s.tracker.Learn(now, update.Entries[:min(len(update.Entries), MostEntries)], directory)
+	accepted := s.tracker.Record(now, update.Entries[:min(len(update.Entries), MaxEntries)], directory)
 	member := s.members[from]
 	if !place.Dispatching || member == nil {
 		return
@@ -125,7 +125,7 @@
 	for i := range accepted {
 		s.pending.Add(accepted[i])
 	}
-	if update.Lacking {
+	if update.FactorsMissing {
 		*member = memberState{}
 	}
 }
@@ -136,13 +136,13 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.recordOwn(now, directory)
-	if now.Sub(s.estimatedAt) >= SettlePause {
+	if now.Sub(s.estimatedAt) >= EstimateInterval {
 		s.estimatedAt = now
-		changes = s.tracker.Settle()
+		changes = s.tracker.Estimate()
 	}
 	outgoing = s.appendSamples(now, outgoing)
 	outgoing = s.appendHandover(outgoing)
-	if now.Sub(s.factorsSentAt) >= TellPause {
+	if now.Sub(s.factorsSentAt) >= SendInterval {
 		outgoing = s.appendFactors(now, outgoing)
 	}
 	return outgoing, changes
@@ -156,12 +156,12 @@
 	case len(to) == 0:
 		s.pending.Take(maxBatchEntries)
 		return outgoing
-	case s.pending.Len() == 0, now.Sub(s.samplesSentAt) < max(TellPause, s.place.SamplePause):
+	case s.pending.Len() == 0, now.Sub(s.samplesSentAt) < max(SendInterval, s.place.SampleInterval):
 		return outgoing
 	}
 	s.samplesSentAt = now
-	lacking := !s.factorsReceived && !s.place.Small && !s.place.Dispatching
-	return append(outgoing, Outgoing{To: to, Update: Update{Entries: s.pending.Take(MostEntries), Lacking: lacking}})
+	lacking := !s.factorsReceived && !s.place.AllToAll && !s.place.Dispatching
+	return append(outgoing, Outgoing{To: to, Update: Update{Entries: s.pending.Take(MaxEntries), FactorsMissing: lacking}})
 }
 
 // appendHandover adds a message with factors to the daemon that has replaced this one as dispatcher. That daemon may have
@@ -184,7 +184,7 @@
 	s.ownMutex.Lock()
 	own := s.own.Take(maxBatchEntries)
 	s.ownMutex.Unlock()
-	accepted := s.tracker.Learn(now, own, directory)
+	accepted := s.tracker.Record(now, own, directory)
 	for i := range accepted {
 		s.pending.Add(accepted[i])
 	}
@@ -193,7 +193,7 @@
 // sampleReceivers returns the daemons that this one sends samples to.
 func (s *Sharer) sampleReceivers() []string {
 	switch {
-	case s.place.Small, s.place.Dispatching:
+	case s.place.AllToAll, s.place.Dispatching:
 		return s.place.Others
 	case s.place.Dispatcher != "":
 		return []string{s.place.Dispatcher}
--- a/pace/sharer_test.go
+++ b/pace/sharer_test.go
@@ -13,7 +13,7 @@
 // addSamples records count samples of an instance in a sharer.
 func addSamples(s *pace.Sharer, instance string, gap time.Duration, count int) {
 	for range count {
-		s.Sampled(pace.Sample{Instance: instance, Model: "m", Gap: gap})
+		s.AddSample(pace.Sample{Instance: instance, Model: "m", Gap: gap})
 	}
 }
 
@@ -36,8 +36,8 @@
 // only samples of their own group, and members receive factors instead of samples.
 func TestSamplesCountOnce(t *testing.T) {
 	known := directory{"a": true, "b": true}
-	s := pace.NewSharer(pace.NewBook())
-	s.SetPlace(pace.Place{Dispatcher: "self", Dispatching: true, Members: []string{"member"}, Others: []string{"other"}})
+	s := pace.NewSharer(pace.NewTracker())
+	s.SetRole(pace.Role{Dispatcher: "self", Dispatching: true, Members: []string{"member"}, Others: []string{"other"}})
 	addSamples(s, "a", 10*time.Millisecond, 3)
 	s.Receive(start, "member", &pace.Update{Entries: []pace.Entry{newEntry("a", "m", 0.01, 5), newEntry("b", "m", 0.02, 7)}}, known)
 	s.Receive(start, "other", &pace.Update{Entries: []pace.Entry{newEntry("b", "m", 0.02, 11)}}, known)
@@ -57,9 +57,9 @@
 // TestMembersTakeNoSamples guards against a member that records samples of other daemons. The factors that it receives
 // already include them.
 func TestMembersTakeNoSamples(t *testing.T) {
-	known, tracker := directory{"a": true}, pace.NewBook()
+	known, tracker := directory{"a": true}, pace.NewTracker()
 	s := pace.NewSharer(tracker)
-	s.SetPlace(pace.Place{Dispatcher: "d"})
+	s.SetRole(pace.Role{Dispatcher: "d"})
 	s.Receive(start, "x", &pace.Update{Entries: []pace.Entry{newEntry("a", "m", 0.01, 20)}}, known)
 	if s.Tick(start, known); tracker.Summary().Count != 0 {
 		t.Errorf("%+v", tracker.Summary())
@@ -69,49 +69,49 @@
 // TestToldFactorReplacesOwnSamples guards against own samples that count in addition to a received factor that already
 // includes them, and against a received factor that later samples don't change.
 func TestToldFactorReplacesOwnSamples(t *testing.T) {
-	known, tracker := directory{"a": true, "b": true, "c": true}, pace.NewBook()
+	known, tracker := directory{"a": true, "b": true, "c": true}, pace.NewTracker()
 	record := func(at time.Time, gap float64) {
-		tracker.Learn(at, []pace.Entry{newEntry("a", "m", gap, 20), newEntry("b", "m", 0.01, 20), newEntry("c", "m", 0.01, 20)}, known)
+		tracker.Record(at, []pace.Entry{newEntry("a", "m", gap, 20), newEntry("b", "m", 0.01, 20), newEntry("c", "m", 0.01, 20)}, known)
 	}
 	record(start, 0.04)
 	code := pace.EncodeFactor(2)
-	tracker.Tell(map[string]uint8{"a": code, "b": pace.EncodeFactor(1), "c": pace.EncodeFactor(1), "gone": code}, known, false)
-	tracker.Settle()
+	tracker.MergeFactors(map[string]uint8{"a": code, "b": pace.EncodeFactor(1), "c": pace.EncodeFactor(1), "gone": code}, known, false)
+	tracker.Estimate()
 	if got := tracker.Slowness("a"); math.Abs(got-2) > 0.25 {
 		t.Errorf("factor %.2f after 2 was received", got)
 	}
 	for second := range 40 {
 		record(start.Add(time.Duration(second)*time.Second), 0.03)
-		tracker.Settle()
+		tracker.Estimate()
 	}
 	if got := tracker.Slowness("a"); math.Abs(got-3) > 0.3 {
 		t.Errorf("factor %.2f after many samples of 3", got)
 	}
-	tracker.Tell(map[string]uint8{"a": 0}, known, false)
-	tracker.Settle()
+	tracker.MergeFactors(map[string]uint8{"a": 0}, known, false)
+	tracker.Estimate()
 	if got := tracker.Slowness("a"); math.Abs(got-3) > 0.3 || tracker.Summary().Count != 3 {
 		t.Errorf("factor %.2f after the code for no factor, %+v", got, tracker.Summary())
 	}
 }
 
-// TestUpdatesAreBounded guards against messages with more than MostEntries entries or MostFactors factors, sent or
+// TestUpdatesAreBounded guards against messages with more than MaxEntries entries or MaxFactors factors, sent or
 // received.
 func TestUpdatesAreBounded(t *testing.T) {
-	known, tracker := directory{}, pace.NewBook()
+	known, tracker := directory{}, pace.NewTracker()
 	s := pace.NewSharer(tracker)
-	s.SetPlace(pace.Place{Small: true, Others: []string{"other"}})
+	s.SetRole(pace.Role{AllToAll: true, Others: []string{"other"}})
 	var received pace.Update
-	for i := range 3 * pace.MostFactors {
+	for i := range 3 * pace.MaxFactors {
 		id := fmt.Sprintf("i%04d", i)
 		known[id] = true
 		addSamples(s, id, 10*time.Millisecond, 4)
 		received.Entries = append(received.Entries, newEntry(id, "m", 0.01, 4))
 	}
-	other := pace.NewBook()
+	other := pace.NewTracker()
 	sharer := pace.NewSharer(other)
-	sharer.SetPlace(pace.Place{Small: true})
+	sharer.SetRole(pace.Role{AllToAll: true})
 	sharer.Receive(start, "x", &received, known)
-	if sharer.Tick(start, known); other.Summary().Count != pace.MostEntries {
+	if sharer.Tick(start, known); other.Summary().Count != pace.MaxEntries {
 		t.Errorf("%d entries of %d are accepted from a message", other.Summary().Count, len(received.Entries))
 	}
 	sent := 0
@@ -119,7 +119,7 @@
 		outgoing, _ := s.Tick(start.Add(time.Duration(tick)*100*time.Millisecond), known)
 		for _, message := range outgoing {
 			sent++
-			if count := len(message.Update.Entries); count > pace.MostEntries {
+			if count := len(message.Update.Entries); count > pace.MaxEntries {
 				t.Errorf("a message has %d entries", count)
 			}
 		}
@@ -129,7 +129,7 @@
 	}
 	first, last := tracker.Factors("")
 	second, _ := tracker.Factors(last)
-	if len(first) != pace.MostFactors || len(second) != pace.MostFactors {
+	if len(first) != pace.MaxFactors || len(second) != pace.MaxFactors {
 		t.Errorf("%d and %d factors", len(first), len(second))
 	}
 	for id := range second {
@@ -142,12 +142,12 @@
 // TestBadSamplesAreDropped guards against samples without a model or with a gap out of range.
 func TestBadSamplesAreDropped(t *testing.T) {
 	known := directory{"a": true}
-	s := pace.NewSharer(pace.NewBook())
-	s.SetPlace(pace.Place{Small: true, Others: []string{"other"}})
+	s := pace.NewSharer(pace.NewTracker())
+	s.SetRole(pace.Role{AllToAll: true, Others: []string{"other"}})
 	for _, gap := range []time.Duration{0, -time.Second, 2*time.Second + 1} {
 		addSamples(s, "a", gap, 1)
 	}
-	s.Sampled(pace.Sample{Instance: "a", Gap: time.Millisecond})
+	s.AddSample(pace.Sample{Instance: "a", Gap: time.Millisecond})
 	if outgoing, _ := s.Tick(start, known); len(outgoing) > 0 {
 		t.Errorf("%+v", outgoing)
 	}
@@ -156,18 +156,18 @@
 // TestConcurrentUse guards against data races between the request path, received messages and the estimate. It needs the
 // race detector.
 func TestConcurrentUse(t *testing.T) {
-	known, tracker := directory{"a": true, "b": true}, pace.NewBook()
+	known, tracker := directory{"a": true, "b": true}, pace.NewTracker()
 	s := pace.NewSharer(tracker)
 	update := pace.Update{Entries: []pace.Entry{newEntry("b", "m", 0.02, 2)}, Factors: map[string]uint8{"a": 128}}
 	const rounds = 200
-	place := pace.Place{Dispatching: true, Members: []string{"member"}, Others: []string{"other"}}
-	s.SetPlace(place)
+	place := pace.Role{Dispatching: true, Members: []string{"member"}, Others: []string{"other"}}
+	s.SetRole(place)
 	uses := []func(now time.Time){
 		func(time.Time) { addSamples(s, "a", 10*time.Millisecond, 1) },
 		func(now time.Time) { s.Receive(now, "member", &update, known) },
 		func(now time.Time) { s.Tick(now, known) },
-		func(time.Time) { s.SetPlace(place) },
-		func(time.Time) { tracker.Forget(func(string) bool { return true }) },
+		func(time.Time) { s.SetRole(place) },
+		func(time.Time) { tracker.Prune(func(string) bool { return true }) },
 		func(time.Time) { tracker.Slowness("a"); tracker.Summary(); tracker.Factors("") },
 	}
 	var group sync.WaitGroup
--- a/pace/simfleet_test.go
+++ b/pace/simfleet_test.go
@@ -45,13 +45,13 @@
 	samples    int
 }
 
-// simDaemon is a simulated daemon with its Book and Sharer.
+// simDaemon is a simulated daemon with its Tracker and Sharer.
 type simDaemon struct {
 	name    string
 	zone    int
-	tracker *pace.Book
+	tracker *pace.Tracker
 	sharer  *pace.Sharer
-	place   pace.Place
+	place   pace.Role
 	stopped bool
 }
 
@@ -146,7 +146,7 @@
 }
 
 func (f *simFleet) addDaemon(number int) *simDaemon {
-	tracker := pace.NewBook()
+	tracker := pace.NewTracker()
 	d := &simDaemon{name: fmt.Sprint("d", number), zone: number % 3, tracker: tracker, sharer: pace.NewSharer(tracker)}
 	f.daemons = append(f.daemons, d)
 	f.byName[d.name] = d
@@ -167,7 +167,7 @@
 	if len(live) <= 11 {
 		for _, d := range f.daemons {
 			others := slices.DeleteFunc(slices.Clone(live), func(name string) bool { return name == d.name })
-			d.setPlace(pace.Place{Small: true, Others: others})
+			d.setPlace(pace.Role{AllToAll: true, Others: others})
 		}
 		return
 	}
@@ -180,7 +180,7 @@
 	for _, zone := range zones {
 		groups := groupCount(zone)
 		for i, d := range zone {
-			place := pace.Place{Dispatcher: zone[i%groups].name, Dispatching: i < groups}
+			place := pace.Role{Dispatcher: zone[i%groups].name, Dispatching: i < groups}
 			if place.Dispatching {
 				place.Others = slices.DeleteFunc(slices.Clone(dispatchers), func(name string) bool { return name == d.name })
 				for k := i + groups; k < len(zone); k += groups {
@@ -194,9 +194,9 @@
 
 func groupCount(zone []*simDaemon) int { return (len(zone) + groupSize - 1) / groupSize }
 
-func (d *simDaemon) setPlace(place pace.Place) {
+func (d *simDaemon) setPlace(place pace.Role) {
 	d.place = place
-	d.sharer.SetPlace(place)
+	d.sharer.SetRole(place)
 }
 
 // Service implements pace.Directory.
@@ -218,7 +218,7 @@
 				continue
 			}
 			for range f.arrivals(samplesPerSecond * tickInterval.Seconds()) {
-				d.sharer.Sampled(f.sample())
+				d.sharer.AddSample(f.sample())
 			}
 			f.tick(d)
 		}
@@ -334,6 +334,6 @@
 
 // fresh returns the state of a daemon of the same name and zone after a restart.
 func (f *simFleet) fresh(d *simDaemon) *simDaemon {
-	tracker := pace.NewBook()
+	tracker := pace.NewTracker()
 	return &simDaemon{name: d.name, zone: d.zone, tracker: tracker, sharer: pace.NewSharer(tracker)}
 }
--- a/pace/tracker.go
+++ b/pace/tracker.go
@@ -36,10 +36,10 @@
 	Serves(service, model string) bool
 }
 
-// Book estimates the factor of each instance: how long its work takes relative to the typical instance of its service.
+// Tracker estimates the factor of each instance: how long its work takes relative to the typical instance of its service.
 // It is safe for concurrent use. Instances are identified by their IDs, which differ between runs of the same server.
 // Forget removes the state of an instance.
-type Book struct {
+type Tracker struct {
 	mutex     sync.Mutex
 	instances map[string]*instanceState
 	models    map[modelKey]*modelState
@@ -91,25 +91,25 @@
 	reported float64
 }
 
-// NewBook returns a Book without instances.
-func NewBook() *Book {
-	t := &Book{instances: map[string]*instanceState{}, models: map[modelKey]*modelState{}}
+// NewTracker returns a Tracker without instances.
+func NewTracker() *Tracker {
+	t := &Tracker{instances: map[string]*instanceState{}, models: map[modelKey]*modelState{}}
 	t.published.Store(&snapshot{})
 	return t
 }
 
 // Slowness returns the factor of an instance: the time its work takes, as a multiple of the time at a typical instance.
 // It returns 1 if there is no factor.
-func (t *Book) Slowness(instance string) float64 {
+func (t *Tracker) Slowness(instance string) float64 {
 	if factor, published := t.published.Load().factors[instance]; published {
 		return factor
 	}
 	return 1
 }
 
-// Learn records samples and returns those that it accepted. It skips invalid entries, and entries of instances or models
+// Record records samples and returns those that it accepted. It skips invalid entries, and entries of instances or models
 // that are not in the directory.
-func (t *Book) Learn(now time.Time, entries []Entry, directory Directory) []Entry {
+func (t *Tracker) Record(now time.Time, entries []Entry, directory Directory) []Entry {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var accepted []Entry
@@ -130,7 +130,7 @@
 }
 
 // record adds an entry to the observations of its instance.
-func (t *Book) record(now time.Time, service string, entry *Entry) {
+func (t *Tracker) record(now time.Time, service string, entry *Entry) {
 	state := t.state(entry.Instance, service)
 	count := float64(min(entry.Count, maxMergedSamples))
 	retained := state.decay(now, count)
@@ -140,7 +140,7 @@
 }
 
 // state returns the state of an instance, and creates it if there is none. An instance does not change its service.
-func (t *Book) state(instance, service string) *instanceState {
+func (t *Tracker) state(instance, service string) *instanceState {
 	state := t.instances[instance]
 	if state == nil || state.service != service {
 		state = &instanceState{service: service}
@@ -191,7 +191,7 @@
 }
 
 // model returns the state of a model, and creates it if there is none.
-func (t *Book) model(key modelKey) *modelState {
+func (t *Tracker) model(key modelKey) *modelState {
 	model := t.models[key]
 	if model == nil {
 		model = &modelState{}
@@ -209,16 +209,16 @@
 	return weight
 }
 
-// Tell merges factors received from a dispatcher. They already include this daemon's own samples, so the weight of these
+// MergeFactors merges factors received from a dispatcher. They already include this daemon's own samples, so the weight of these
 // is reduced. With onlyNew, instances that have a factor are skipped.
-func (t *Book) Tell(factors map[string]uint8, directory Directory, onlyNew bool) {
+func (t *Tracker) MergeFactors(factors map[string]uint8, directory Directory, onlyNew bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	merged := 0
 	for instance, code := range factors {
 		factor, valid := DecodeFactor(code)
 		service, known := directory.Service(instance)
-		if !valid || !known || merged == MostFactors {
+		if !valid || !known || merged == MaxFactors {
 			continue
 		}
 		merged++
@@ -242,8 +242,8 @@
 // hasFactor reports whether an instance has enough samples for its factor to be used.
 func (s *instanceState) hasFactor() bool { return s.samples >= minFactorSamples }
 
-// Forget removes instances that are not present, and models without observations.
-func (t *Book) Forget(present func(instance string) bool) {
+// Prune removes instances that are not present, and models without observations.
+func (t *Tracker) Prune(present func(instance string) bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	used := map[modelKey]bool{}
--- a/pace/tracker_test.go
+++ b/pace/tracker_test.go
@@ -42,11 +42,11 @@
 		"no model":         newEntry("a", "", 0.01, 1),
 	}
 	for name, entry := range bad {
-		tracker := pace.NewBook()
-		if accepted := tracker.Learn(start, []pace.Entry{entry}, known); len(accepted) > 0 {
+		tracker := pace.NewTracker()
+		if accepted := tracker.Record(start, []pace.Entry{entry}, known); len(accepted) > 0 {
 			t.Errorf("%s: accepted", name)
 		}
-		if changes := tracker.Settle(); len(changes) > 0 {
+		if changes := tracker.Estimate(); len(changes) > 0 {
 			t.Errorf("%s: changes %v", name, changes)
 		}
 	}
@@ -54,13 +54,13 @@
 
 // TestHugeCountIsBounded guards against an entry whose count outweighs all other entries or overflows.
 func TestHugeCountIsBounded(t *testing.T) {
-	tracker, known := pace.NewBook(), directory{"a": true, "b": true}
-	tracker.Learn(start, []pace.Entry{newEntry("a", "m", 0.04, math.MaxInt), newEntry("b", "m", 0.01, math.MaxInt)}, known)
+	tracker, known := pace.NewTracker(), directory{"a": true, "b": true}
+	tracker.Record(start, []pace.Entry{newEntry("a", "m", 0.04, math.MaxInt), newEntry("b", "m", 0.01, math.MaxInt)}, known)
 	for second := range 30 {
 		entries := []pace.Entry{newEntry("a", "m", 0.01, 5), newEntry("b", "m", 0.01, 5)}
-		tracker.Learn(start.Add(time.Duration(second)*time.Second), entries, known)
+		tracker.Record(start.Add(time.Duration(second)*time.Second), entries, known)
 	}
-	tracker.Settle()
+	tracker.Estimate()
 	if got := tracker.Slowness("a") / tracker.Slowness("b"); math.Abs(got-1) > 0.05 {
 		t.Errorf("a takes %.2f times as long as b", got)
 	}
@@ -68,14 +68,14 @@
 
 // TestFactorsCountFromFourSamples guards against factors that rest on one or two samples.
 func TestFactorsCountFromFourSamples(t *testing.T) {
-	tracker, known := pace.NewBook(), directory{"a": true, "b": true}
-	tracker.Learn(start, []pace.Entry{newEntry("a", "m", 0.01, 10), newEntry("b", "m", 0.02, 3)}, known)
-	tracker.Settle()
+	tracker, known := pace.NewTracker(), directory{"a": true, "b": true}
+	tracker.Record(start, []pace.Entry{newEntry("a", "m", 0.01, 10), newEntry("b", "m", 0.02, 3)}, known)
+	tracker.Estimate()
 	if got := tracker.Slowness("b"); got != 1 {
 		t.Errorf("%.2f after three samples", got)
 	}
-	tracker.Learn(start, []pace.Entry{newEntry("b", "m", 0.02, 1)}, known)
-	changes := tracker.Settle()
+	tracker.Record(start, []pace.Entry{newEntry("b", "m", 0.02, 1)}, known)
+	changes := tracker.Estimate()
 	if got := tracker.Slowness("b") / tracker.Slowness("a"); math.Abs(got-2) > 0.2 {
 		t.Errorf("%.2f times as long after four samples, changes %v", got, changes)
 	}
@@ -83,13 +83,13 @@
 
 // TestFactorsAreLimited guards against factors so extreme that a server gets no requests or all of them.
 func TestFactorsAreLimited(t *testing.T) {
-	tracker, known := pace.NewBook(), directory{"a": true, "b": true, "c": true}
-	tracker.Learn(start, []pace.Entry{newEntry("a", "m", 0.001, 20), newEntry("b", "m", 0.02, 20), newEntry("c", "m", 1, 20)}, known)
-	tracker.Settle()
+	tracker, known := pace.NewTracker(), directory{"a": true, "b": true, "c": true}
+	tracker.Record(start, []pace.Entry{newEntry("a", "m", 0.001, 20), newEntry("b", "m", 0.02, 20), newEntry("c", "m", 1, 20)}, known)
+	tracker.Estimate()
 	if a, b, c := tracker.Slowness("a"), tracker.Slowness("b"), tracker.Slowness("c"); a != 0.25 || math.Abs(b-1) > 0.01 || c != 4 {
 		t.Errorf("factors %.2f, %.2f, %.2f", a, b, c)
 	}
-	if summary := tracker.Summary(); summary != (pace.Summary{Count: 3, Least: 0.25, Most: 4}) {
+	if summary := tracker.Summary(); summary != (pace.Summary{Count: 3, Min: 0.25, Max: 4}) {
 		t.Errorf("%+v", summary)
 	}
 }
@@ -97,14 +97,14 @@
 // TestTypicalInstanceHasFactorOne guards against a common drift of all factors, for example when all servers or all
 // models become slower.
 func TestTypicalInstanceHasFactorOne(t *testing.T) {
-	tracker, known := pace.NewBook(), directory{"a": true, "b": true, "c": true}
+	tracker, known := pace.NewTracker(), directory{"a": true, "b": true, "c": true}
 	for second := range 60 {
 		slower := 1 + float64(second)/20
 		entries := []pace.Entry{
 			newEntry("a", "m", 0.01*slower, 5), newEntry("b", "m", 0.014*slower, 5), newEntry("b", "n", 0.03*slower, 5), newEntry("c", "n", 0.06*slower, 5),
 		}
-		tracker.Learn(start.Add(time.Duration(second)*time.Second), entries, known)
-		tracker.Settle()
+		tracker.Record(start.Add(time.Duration(second)*time.Second), entries, known)
+		tracker.Estimate()
 	}
 	a, b, c := tracker.Slowness("a"), tracker.Slowness("b"), tracker.Slowness("c")
 	if math.Abs(b-1) > 0.01 || math.Abs(a-1/1.4) > 0.05 || math.Abs(c-2) > 0.2 {
@@ -115,9 +115,9 @@
 // TestInstanceBornAgainStartsAnew guards against using the factor of an earlier run of a server. The ID of an instance
 // contains the time of its start, so each run has its own.
 func TestInstanceBornAgainStartsAnew(t *testing.T) {
-	tracker, known := pace.NewBook(), directory{"s~1": true, "b": true, "c": true}
-	tracker.Learn(start, []pace.Entry{newEntry("s~1", "m", 0.03, 20), newEntry("b", "m", 0.01, 20), newEntry("c", "m", 0.01, 20)}, known)
-	tracker.Settle()
+	tracker, known := pace.NewTracker(), directory{"s~1": true, "b": true, "c": true}
+	tracker.Record(start, []pace.Entry{newEntry("s~1", "m", 0.03, 20), newEntry("b", "m", 0.01, 20), newEntry("c", "m", 0.01, 20)}, known)
+	tracker.Estimate()
 	if got := tracker.Slowness("s~1"); math.Abs(got-3) > 0.2 {
 		t.Fatalf("factor %.2f", got)
 	}
@@ -126,14 +126,14 @@
 	if got := tracker.Slowness("s~2"); got != 1 {
 		t.Errorf("factor %.2f of the next run", got)
 	}
-	tracker.Forget(func(instance string) bool { return known[instance] })
-	tracker.Settle()
+	tracker.Prune(func(instance string) bool { return known[instance] })
+	tracker.Estimate()
 	if got := tracker.Slowness("s~1"); got != 1 || tracker.Summary().Count != 2 {
 		t.Errorf("factor %.2f of a removed instance, %+v", got, tracker.Summary())
 	}
 	known["s~1"] = true
-	tracker.Learn(start, []pace.Entry{newEntry("s~1", "m", 0.01, 3)}, known)
-	tracker.Settle()
+	tracker.Record(start, []pace.Entry{newEntry("s~1", "m", 0.01, 3)}, known)
+	tracker.Estimate()
 	if got := tracker.Slowness("s~1"); got != 1 {
 		t.Errorf("factor %.2f after three samples of an instance that had been removed", got)
 	}
@@ -141,7 +141,7 @@
 
 // TestChangesAreTold guards against changes of factors that are not reported, and against a report of each small one.
 func TestChangesAreTold(t *testing.T) {
-	tracker, known := pace.NewBook(), directory{"a": true, "b": true, "c": true}
+	tracker, known := pace.NewTracker(), directory{"a": true, "b": true, "c": true}
 	reported := map[string]int{}
 	for second := range 60 {
 		gap := 0.01
@@ -149,8 +149,8 @@
 			gap = 0.02
 		}
 		entries := []pace.Entry{newEntry("a", "m", gap, 5), newEntry("b", "m", 0.01, 5), newEntry("c", "m", 0.01, 5)}
-		tracker.Learn(start.Add(time.Duration(second)*time.Second), entries, known)
-		for _, change := range tracker.Settle() {
+		tracker.Record(start.Add(time.Duration(second)*time.Second), entries, known)
+		for _, change := range tracker.Estimate() {
 			reported[fmt.Sprint(change.Instance, change.Before > 0)]++
 		}
 	}
@@ -178,14 +178,14 @@
 }
 
 func BenchmarkSample(b *testing.B) {
-	sharer := pace.NewSharer(pace.NewBook())
+	sharer := pace.NewSharer(pace.NewTracker())
 	samples := make([]pace.Sample, 128)
 	for i := range samples {
 		samples[i] = pace.Sample{Instance: fmt.Sprint("i", i%64), Model: fmt.Sprint("m", i/64), Gap: 20 * time.Millisecond}
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		sharer.Sampled(samples[i%len(samples)])
+		sharer.AddSample(samples[i%len(samples)])
 	}
 }
 
@@ -198,8 +198,8 @@
 			sample := f.sample()
 			entry := newEntry(sample.Instance, sample.Model, sample.Gap.Seconds(), 1)
 			for b.Loop() {
-				tracker.Learn(f.now, []pace.Entry{entry}, f)
-				tracker.Settle()
+				tracker.Record(f.now, []pace.Entry{entry}, f)
+				tracker.Estimate()
 			}
 		})
 	}
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -89,8 +89,8 @@
 	MessagesSent uint64
 	Dropped      uint64
 	Rejected     uint64
-	// Silent counts the connections that were closed because frames stayed unacknowledged.
-	Silent uint64
+	// UnacknowledgedClosed counts the connections that were closed because frames stayed unacknowledged.
+	UnacknowledgedClosed uint64
 }
 
 // Listen opens the transport on an "IP:port" address.
@@ -167,7 +167,7 @@
 // enqueue queues a frame, unless the queue is at one of its bounds.
 func (s *sender) enqueue(body []byte) bool {
 	size := int64(len(body))
-	if before := s.queuedBytes.Add(size) - size; before > 0 && before+size > sendRingBytes || !s.frames.Offer(body) {
+	if before := s.queuedBytes.Add(size) - size; before > 0 && before+size > sendRingBytes || !s.frames.TryPut(body) {
 		s.queuedBytes.Add(-size)
 		return false
 	}
@@ -232,7 +232,7 @@
 	}
 	var notify func(address string, unacknowledgedFor time.Duration)
 	t.count(func(counts *Counts) {
-		counts.Silent++
+		counts.UnacknowledgedClosed++
 		notify = t.onSilent
 	})
 	if notify != nil {
@@ -241,9 +241,9 @@
 	return true
 }
 
-// OnSilent sets the function that is called for each connection that is closed because frames
+// OnUnacknowledged sets the function that is called for each connection that is closed because frames
 // stayed unacknowledged for too long.
-func (t *Transport[M]) OnSilent(notify func(address string, unacknowledgedFor time.Duration)) {
+func (t *Transport[M]) OnUnacknowledged(notify func(address string, unacknowledgedFor time.Duration)) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.onSilent = notify
--- a/peer/tunnel.go
+++ b/peer/tunnel.go
@@ -19,8 +19,8 @@
 var (
 	// ErrRelay means that the relay could not be reached, or did not answer.
 	ErrRelay = errs.Class("peer: relay")
-	// ErrRelayCut means that the relay itself cannot reach addresses like the target.
-	ErrRelayCut = errs.Class("peer: relay is cut off")
+	// ErrRelayNoRoute means that the relay itself cannot reach addresses like the target.
+	ErrRelayNoRoute = errs.Class("peer: relay is cut off")
 	// ErrRelayDeclined means that the relay accepts no more tunnels, or none to this address.
 	ErrRelayDeclined = errs.Class("peer: relay declined")
 	// ErrTarget means that the relay could not connect to the target.
@@ -56,18 +56,18 @@
 	tunnelOpenTimeout    = 2 * time.Second
 )
 
-// Carry sets how the transport connects to targets for other daemons. The function connect returns
-// an error of the class ErrRelayCut or ErrRelayDeclined if this daemon cannot or may not do so.
+// ServeTunnels sets how the transport connects to targets for other daemons. The function connect returns
+// an error of the class ErrRelayNoRoute or ErrRelayDeclined if this daemon cannot or may not do so.
 // Without Carry, tunnels are declined.
-func (t *Transport[M]) Carry(connect func(ctx context.Context, target string) (net.Conn, error)) {
+func (t *Transport[M]) ServeTunnels(connect func(ctx context.Context, target string) (net.Conn, error)) {
 	t.tunnels.mutex.Lock()
 	defer t.tunnels.mutex.Unlock()
 	t.tunnels.connect = connect
 }
 
-// Retire declines new tunnels, and notifies the other daemons so that they begin nothing new on the
+// DrainTunnels declines new tunnels, and notifies the other daemons so that they begin nothing new on the
 // open ones.
-func (t *Transport[M]) Retire() {
+func (t *Transport[M]) DrainTunnels() {
 	t.tunnels.mutex.Lock()
 	t.tunnels.retiring = true
 	var open []*relayedTunnel
@@ -80,16 +80,16 @@
 	}
 }
 
-// Tunnels returns how many tunnels are open at this relay.
-func (t *Transport[M]) Tunnels() int {
+// TunnelCount returns how many tunnels are open at this relay.
+func (t *Transport[M]) TunnelCount() int {
 	t.tunnels.mutex.Lock()
 	defer t.tunnels.mutex.Unlock()
 	return len(t.tunnels.open)
 }
 
-// Tunnel requests the daemon at the peer address relay to connect to a target, and returns the
+// DialTunnel requests the daemon at the peer address relay to connect to a target, and returns the
 // connection through it.
-func (t *Transport[M]) Tunnel(ctx context.Context, relay, target string) (net.Conn, error) {
+func (t *Transport[M]) DialTunnel(ctx context.Context, relay, target string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, tunnelOpenTimeout)
 	defer cancel()
 	dialer := net.Dialer{KeepAliveConfig: keepAliveConfig}
@@ -135,7 +135,7 @@
 	case tunnelUnreachable:
 		return nil, ErrTarget.Wrap(&net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded})
 	case tunnelNoRoute:
-		return nil, ErrRelayCut.New("%s", conn.RemoteAddr())
+		return nil, ErrRelayNoRoute.New("%s", conn.RemoteAddr())
 	default:
 		return nil, ErrRelayDeclined.New("%s", conn.RemoteAddr())
 	}
@@ -301,7 +301,7 @@
 
 func statusOf(err error) tunnelStatus {
 	switch {
-	case ErrRelayCut.Has(err):
+	case ErrRelayNoRoute.Has(err):
 		return tunnelNoRoute
 	case ErrRelayDeclined.Has(err):
 		return tunnelDeclined
--- a/peer/tunnel_test.go
+++ b/peer/tunnel_test.go
@@ -37,7 +37,7 @@
 func relayTransport(t *testing.T) *Transport[control.Message] {
 	t.Helper()
 	transport := listen(t, "key", func(control.Message) {})
-	transport.Carry(func(ctx context.Context, target string) (net.Conn, error) {
+	transport.ServeTunnels(func(ctx context.Context, target string) (net.Conn, error) {
 		var dialer net.Dialer
 		return dialer.DialContext(ctx, "tcp", target)
 	})
@@ -48,7 +48,7 @@
 func tunnelTo(t *testing.T, relay *Transport[control.Message], target string) net.Conn {
 	t.Helper()
 	near := listen(t, "key", func(control.Message) {})
-	conn, err := near.Tunnel(context.Background(), relay.Address(), target)
+	conn, err := near.DialTunnel(context.Background(), relay.Address(), target)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,7 +141,7 @@
 		want    func(err error) bool
 	}{
 		{"relays no tunnels", nil, ErrRelayDeclined.Has},
-		{"cut off", func(context.Context, string) (net.Conn, error) { return nil, ErrRelayCut.New("") }, ErrRelayCut.Has},
+		{"cut off", func(context.Context, string) (net.Conn, error) { return nil, ErrRelayNoRoute.New("") }, ErrRelayNoRoute.Has},
 		{"declined", func(context.Context, string) (net.Conn, error) { return nil, ErrRelayDeclined.New("") }, ErrRelayDeclined.Has},
 		{"refused", func(context.Context, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }, func(err error) bool {
 			return ErrTarget.Has(err) && errors.Is(err, syscall.ECONNREFUSED)
@@ -155,9 +155,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			relay := listen(t, "key", func(control.Message) {})
 			if c.connect != nil {
-				relay.Carry(c.connect)
+				relay.ServeTunnels(c.connect)
 			}
-			if _, err := near.Tunnel(context.Background(), relay.Address(), "127.0.0.1:1"); !c.want(err) {
+			if _, err := near.DialTunnel(context.Background(), relay.Address(), "127.0.0.1:1"); !c.want(err) {
 				t.Errorf("error %v", err)
 			}
 		})
@@ -165,7 +165,7 @@
 	t.Run("another key", func(t *testing.T) {
 		stranger := listen(t, "other", func(control.Message) {})
 		relay := relayTransport(t)
-		if _, err := stranger.Tunnel(context.Background(), relay.Address(), "127.0.0.1:1"); !ErrRelay.Has(err) {
+		if _, err := stranger.DialTunnel(context.Background(), relay.Address(), "127.0.0.1:1"); !ErrRelay.Has(err) {
 			t.Errorf("error %v", err)
 		}
 		rejected(relay)
@@ -189,7 +189,7 @@
 	if !idle.IsOpen(idleConn) {
 		t.Fatal("an unused tunnel is not open")
 	}
-	relay.Retire()
+	relay.DrainTunnels()
 	for idle.IsOpen(idleConn) {
 		time.Sleep(time.Millisecond)
 	}
@@ -203,7 +203,7 @@
 		t.Error("the near end does not report the tunnel as retiring")
 	}
 	near := listen(t, "key", func(control.Message) {})
-	if _, err := near.Tunnel(context.Background(), relay.Address(), address); !ErrRelayDeclined.Has(err) {
+	if _, err := near.DialTunnel(context.Background(), relay.Address(), address); !ErrRelayDeclined.Has(err) {
 		t.Errorf("a new tunnel through a retiring relay: error %v, want ErrRelayDeclined", err)
 	}
 }
--- a/placement/apply.go
+++ b/placement/apply.go
@@ -16,7 +16,7 @@
 		return applyAdd(next, memoryBytes, operation, now)
 	case OperationMarkMoving:
 		return applyToReplica(next, operation, func(entry *api.PlacementEntry) { entry.Moving = true })
-	case OperationKeep:
+	case OperationUnmarkMoving:
 		return applyToReplica(next, operation, func(entry *api.PlacementEntry) { entry.Moving = false })
 	case OperationPromote:
 		return applyToReplica(next, operation, func(entry *api.PlacementEntry) { entry.Anchor = true })
@@ -72,9 +72,9 @@
 	return next, changed
 }
 
-// MayRely reports whether the release of another replica may rely on the artifact
+// CanRelyOn reports whether the release of another replica may rely on the artifact
 // in this record.
-func MayRely(record api.Placement, artifact api.Artifact) bool {
+func CanRelyOn(record api.Placement, artifact api.Artifact) bool {
 	entry := record.Find(artifact)
 	return entry != nil && entry.Phase == api.PhaseHeld && entry.Anchor && !entry.Moving && !record.Emptying()
 }
--- a/placement/retire.go
+++ b/placement/retire.go
@@ -18,7 +18,7 @@
 		wanted := held.entry.Artifact == view.weights && backEnd.usable()
 		if wanted && len(view.replicas) < view.desired && held.entry.Moving {
 			p.emit(Operation{
-				Kind: OperationKeep, BackEnd: backEnd.Name, IfVersion: backEnd.Version,
+				Kind: OperationUnmarkMoving, BackEnd: backEnd.Name, IfVersion: backEnd.Version,
 				Artifact: held.entry.Artifact, Reason: "needed after all",
 			})
 			continue
--- a/placement/types.go
+++ b/placement/types.go
@@ -126,8 +126,8 @@
 	// OperationMarkMoving marks a replica as moving, so that no release
 	// relies on it.
 	OperationMarkMoving
-	// OperationKeep reverts OperationMarkMoving.
-	OperationKeep
+	// OperationUnmarkMoving reverts OperationMarkMoving.
+	OperationUnmarkMoving
 	// OperationRelease starts the release of a replica.
 	OperationRelease
 	// OperationPromote makes a surplus replica an anchor, that is, one that
