--- a/quarantine/contentpolicies_test.go
+++ b/quarantine/contentpolicies_test.go
@@ -26,8 +26,8 @@
 // policy is a rule that decides which contents are held.
 type policy struct {
 	name string
-	// held reports whether a content is held by the records of the book.
-	held func(book *Book, content Digest) bool
+	// held reports whether a content is held by the records of the tracker.
+	held func(book *Tracker, content Digest) bool
 	// isolateFrom is the number of crashes from which a content is isolated: it is sent only to servers without another
 	// isolated content, and has one run at a time. Zero disables isolation.
 	isolateFrom int
@@ -35,13 +35,13 @@
 	limit int
 }
 
-func heldByCount(book *Book, content Digest) bool {
-	rec := book.records[content]
-	return rec != nil && rec.crashCount >= book.limit
+func heldByCount(tracker *Tracker, content Digest) bool {
+	rec := tracker.records[content]
+	return rec != nil && rec.crashCount >= tracker.limit
 }
 
-func heldByBook(book *Book, content Digest) bool {
-	rec := book.records[content]
+func heldByBook(tracker *Tracker, content Digest) bool {
+	rec := tracker.records[content]
 	return rec != nil && rec.held
 }
 
@@ -86,7 +86,7 @@
 	policy policy
 	random *rand.Rand
 	now    time.Time
-	book   *Book
+	book   *Tracker
 	// maxTries is the number of times that a harmless request is sent.
 	maxTries int
 	servers  []*simServer
@@ -112,7 +112,7 @@
 }
 
 func newSimulation(chosen policy, seed uint64, maxTries int) *simulation {
-	s := &simulation{policy: chosen, random: rand.New(rand.NewPCG(seed, 39)), now: start, maxTries: maxTries, book: NewBook()}
+	s := &simulation{policy: chosen, random: rand.New(rand.NewPCG(seed, 39)), now: start, maxTries: maxTries, book: NewTracker()}
 	s.book.limit = chosen.limit
 	for range serverCount {
 		s.servers = append(s.servers, &simServer{})
@@ -228,7 +228,7 @@
 			return false
 		}
 		content := request.content
-		s.schedule(reportDelay, func(now time.Time) { s.book.Served(now, content) })
+		s.schedule(reportDelay, func(now time.Time) { s.book.RecordSuccess(now, content) })
 		return true
 	})
 	ends := func(request *simRequest) bool { return request.crashing && s.now.Sub(request.began) >= crashDelay }
@@ -242,9 +242,9 @@
 	worker := s.servers[number]
 	worker.incarnation++
 	worker.availableAt = s.now.Add(2200*time.Millisecond + time.Duration(s.random.Int64N(int64(3800*time.Millisecond))))
-	var interrupted []Victim
+	var interrupted []InterruptedRequest
 	for _, request := range worker.running {
-		interrupted = append(interrupted, Victim{Content: request.content, Began: request.began})
+		interrupted = append(interrupted, InterruptedRequest{Content: request.content, Began: request.began})
 		s.resend(request)
 		if !request.crashing {
 			s.totals.interrupted++
@@ -259,7 +259,7 @@
 	}
 	server := fmt.Sprint(number, "/", worker.incarnation)
 	at := s.now
-	s.schedule(reportDelay, func(now time.Time) { s.book.Crashed(now, at, server, interrupted) })
+	s.schedule(reportDelay, func(now time.Time) { s.book.RecordCrash(now, at, server, interrupted) })
 }
 
 // resend sends a request again whose answer was interrupted.
--- a/quarantine/eviction.go
+++ b/quarantine/eviction.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// Forget removes expired records.
-func (b *Book) Forget(now time.Time) {
-	for content, rec := range b.records {
+// Prune removes expired records.
+func (t *Tracker) Prune(now time.Time) {
+	for content, rec := range t.records {
 		retention := crashRetention
 		if rec.crashCount == 0 {
 			retention = clearedRetention
 		}
 		if now.Sub(rec.lastCrashAt) >= retention {
-			b.removeRecord(content)
+			t.removeRecord(content)
 		}
 	}
 }
 
-// evictionBatch is the number of records that a full book evicts at once, since an eviction has to sort all records.
+// evictionBatch is the number of records that a full tracker evicts at once, since an eviction has to sort all records.
 const evictionBatch = maxRecords / 16
 
-// evictIfFull evicts the weakest records if the book is full: those with the fewest crashes, and of those the ones with
+// evictIfFull evicts the weakest records if the tracker is full: those with the fewest crashes, and of those the ones with
 // the oldest crashes. A flood of contents that crash one server each does not evict one that has crashed several.
-func (b *Book) evictIfFull(now time.Time) {
-	if len(b.records) < maxRecords {
+func (t *Tracker) evictIfFull(now time.Time) {
+	if len(t.records) < maxRecords {
 		return
 	}
-	b.Forget(now)
-	if len(b.records) < maxRecords {
+	t.Prune(now)
+	if len(t.records) < maxRecords {
 		return
 	}
-	contents := slices.Collect(maps.Keys(b.records))
-	slices.SortFunc(contents, func(one, other Digest) int { return b.records[one].compareEvidence(b.records[other]) })
+	contents := slices.Collect(maps.Keys(t.records))
+	slices.SortFunc(contents, func(one, other Digest) int { return t.records[one].compareEvidence(t.records[other]) })
 	for _, content := range contents[:evictionBatch] {
-		b.removeRecord(content)
+		t.removeRecord(content)
 	}
 }
 
@@ -73,21 +73,21 @@
 	return servers[0]
 }
 
-func (b *Book) removeRecord(content Digest) {
-	for _, server := range slices.Collect(maps.Keys(b.records[content].crashes)) {
-		b.removeCrash(content, server)
+func (t *Tracker) removeRecord(content Digest) {
+	for _, server := range slices.Collect(maps.Keys(t.records[content].crashes)) {
+		t.removeCrash(content, server)
 	}
-	delete(b.records, content)
+	delete(t.records, content)
 }
 
-func (b *Book) removeCrash(content Digest, server string) {
-	rec := b.records[content]
+func (t *Tracker) removeCrash(content Digest, server string) {
+	rec := t.records[content]
 	delete(rec.crashes, server)
 	rec.updateCrashCount()
-	rest := slices.DeleteFunc(b.digestsAtCrash[server], func(other Digest) bool { return other == content })
+	rest := slices.DeleteFunc(t.digestsAtCrash[server], func(other Digest) bool { return other == content })
 	if len(rest) == 0 {
-		delete(b.digestsAtCrash, server)
+		delete(t.digestsAtCrash, server)
 	} else {
-		b.digestsAtCrash[server] = rest
+		t.digestsAtCrash[server] = rest
 	}
 }
--- a/quarantine/hold.go
+++ b/quarantine/hold.go
@@ -11,11 +11,11 @@
 // request that began after the preceding crash.
 const partCrashLimit = 3
 
-func (b *Book) limitOf(kind Kind) int {
+func (t *Tracker) limitOf(kind Kind) int {
 	if kind == KindPart {
-		return b.partLimit
+		return t.partLimit
 	}
-	return b.limit
+	return t.limit
 }
 
 // holds reports whether the record holds requests, by itself or together with others.
@@ -23,9 +23,9 @@
 
 // RequestHeldUntil returns until when a request is not sent to servers, and the content or part that is the cause; the
 // zero time if the request is not held.
-func (b *Book) RequestHeldUntil(now time.Time, attributes *Attributes) (until time.Time, cause Digest) {
+func (t *Tracker) RequestHeldUntil(now time.Time, attributes *Attributes) (until time.Time, cause Digest) {
 	attributes.eachDigest(func(_ Kind, digest Digest) {
-		if held := b.HeldUntil(now, digest); held.After(until) {
+		if held := t.HeldUntil(now, digest); held.After(until) {
 			until, cause = held, digest
 		}
 	})
@@ -33,7 +33,7 @@
 		return until, cause
 	}
 	for _, part := range attributes.Parts {
-		rec := b.records[part.Digest]
+		rec := t.records[part.Digest]
 		if rec == nil || len(rec.heldWith) == 0 || slices.ContainsFunc(rec.heldWith, func(other Digest) bool { return !attributes.hasPart(other) }) {
 			continue
 		}
@@ -44,33 +44,33 @@
 	return until, cause
 }
 
-// Together returns the parts with which a part is held together; none if it is held by itself or not at all.
-func (b *Book) Together(part Digest) []Digest {
-	if rec := b.records[part]; rec != nil {
+// HeldWith returns the parts with which a part is held together; none if it is held by itself or not at all.
+func (t *Tracker) HeldWith(part Digest) []Digest {
+	if rec := t.records[part]; rec != nil {
 		return rec.heldWith
 	}
 	return nil
 }
 
 // SuspectsOf returns the suspected content and parts of a request, those with the most crashes first.
-func (b *Book) SuspectsOf(now time.Time, attributes *Attributes) []Digest {
+func (t *Tracker) SuspectsOf(now time.Time, attributes *Attributes) []Digest {
 	var suspects []Digest
 	attributes.eachDigest(func(_ Kind, digest Digest) {
-		if b.Suspects(now, digest) {
+		if t.IsSuspected(now, digest) {
 			suspects = append(suspects, digest)
 		}
 	})
 	slices.SortStableFunc(suspects, func(one, other Digest) int {
-		return cmp.Or(cmp.Compare(b.records[other].crashCount, b.records[one].crashCount), bytes.Compare(one[:], other[:]))
+		return cmp.Or(cmp.Compare(t.records[other].crashCount, t.records[one].crashCount), bytes.Compare(one[:], other[:]))
 	})
 	return suspects
 }
 
 // RequestPendingUntil returns until when a request must wait because it would be held if the pending crashes under its
 // content or one of its parts were confirmed; the zero time if it may run.
-func (b *Book) RequestPendingUntil(now time.Time, attributes *Attributes) (until time.Time) {
+func (t *Tracker) RequestPendingUntil(now time.Time, attributes *Attributes) (until time.Time) {
 	attributes.eachDigest(func(_ Kind, digest Digest) {
-		if pending := b.PendingUntil(now, digest); pending.After(until) {
+		if pending := t.PendingUntil(now, digest); pending.After(until) {
 			until = pending
 		}
 	})
@@ -78,11 +78,11 @@
 }
 
 // updateHold decides whether a content or part is held.
-func (b *Book) updateHold(digest Digest, rec *record) {
+func (t *Tracker) updateHold(digest Digest, rec *record) {
 	if rec.kind == KindPart {
-		rec.held, rec.heldWith = b.holdsPart(digest, rec)
+		rec.held, rec.heldWith = t.holdsPart(digest, rec)
 	} else {
-		rec.held = b.holdsContent(digest)
+		rec.held = t.holdsContent(digest)
 	}
 }
 
@@ -91,8 +91,8 @@
 // is the more specific cause, so the part is not held. If several parts were present at the same crashes, any of them may
 // be the cause: only requests that have all of them are held. Requests with some of them still run and show which one it
 // is.
-func (b *Book) holdsPart(part Digest, rec *record) (held bool, heldWith []Digest) {
-	limit := b.partLimit
+func (t *Tracker) holdsPart(part Digest, rec *record) (held bool, heldWith []Digest) {
+	limit := t.partLimit
 	if rec.remoteHoldAt.After(rec.clearedAt) {
 		// Daemons receive reports of many crashes at different times, and retain different ones of them.
 		limit--
@@ -107,13 +107,13 @@
 			continue
 		}
 		highest := 0
-		for _, other := range b.digestsAtCrash[server] {
-			rival := b.records[other]
+		for _, other := range t.digestsAtCrash[server] {
+			rival := t.records[other]
 			if other == part || !rival.crashes[server].counts() {
 				continue
 			}
 			highest = max(highest, rival.crashCount)
-			if rival.crashCount == rec.crashCount && b.sameCrashes(part, other) {
+			if rival.crashCount == rec.crashCount && t.sameCrashes(part, other) {
 				byContent = byContent || rival.kind == KindContent
 				others[other] = true
 			}
@@ -138,9 +138,9 @@
 // cause is present at some of the crashes; the cause is present at all of its own. So a crash does not count against a
 // content if another content at that crash has more crashes. If two contents were present at the same crashes, either may
 // be the cause, and one further crash is required. Parts are not considered.
-func (b *Book) holdsContent(content Digest) bool {
-	rec := b.records[content]
-	if rec.crashCount < b.limit {
+func (t *Tracker) holdsContent(content Digest) bool {
+	rec := t.records[content]
+	if rec.crashCount < t.limit {
 		return false
 	}
 	unexplained, tied := 0, false
@@ -148,32 +148,32 @@
 		if !seen.counts() {
 			continue
 		}
-		highest, same := b.strongestRival(server, content)
+		highest, same := t.strongestRival(server, content)
 		if highest <= rec.crashCount {
 			unexplained++
 		}
 		tied = tied || same
 	}
-	return unexplained >= b.limit && (!tied || rec.crashCount > b.limit)
+	return unexplained >= t.limit && (!tied || rec.crashCount > t.limit)
 }
 
 // strongestRival returns the highest crash count of the other contents at the crash of a server, and whether one of them
 // was present at all crashes of the content.
-func (b *Book) strongestRival(server string, content Digest) (highest int, same bool) {
-	for _, other := range b.digestsAtCrash[server] {
-		rival := b.records[other]
+func (t *Tracker) strongestRival(server string, content Digest) (highest int, same bool) {
+	for _, other := range t.digestsAtCrash[server] {
+		rival := t.records[other]
 		if other == content || rival.kind != KindContent || !rival.crashes[server].counts() {
 			continue
 		}
 		highest = max(highest, rival.crashCount)
-		same = same || b.sameCrashes(content, other)
+		same = same || t.sameCrashes(content, other)
 	}
 	return highest, same
 }
 
 // sameCrashes reports whether two contents or parts were present at the same crashes.
-func (b *Book) sameCrashes(one, other Digest) bool {
-	first, second := b.records[one], b.records[other]
+func (t *Tracker) sameCrashes(one, other Digest) bool {
+	first, second := t.records[one], t.records[other]
 	if first.crashCount != second.crashCount {
 		return false
 	}
--- a/quarantine/hold_test.go
+++ b/quarantine/hold_test.go
@@ -22,17 +22,17 @@
 }
 
 // crashRequests records a crash of a server that had been running requests for runTime.
-func crashRequests(book *Book, now time.Time, server string, requests ...testRequest) Change {
-	var victims []Victim
+func crashRequests(tracker *Tracker, now time.Time, server string, requests ...testRequest) Change {
+	var victims []InterruptedRequest
 	for _, request := range requests {
 		attributes := request.attributes()
-		victims = append(victims, Victim{Content: attributes.Content, Parts: attributes.Parts, Began: now.Add(-runTime)})
+		victims = append(victims, InterruptedRequest{Content: attributes.Content, Parts: attributes.Parts, Began: now.Add(-runTime)})
 	}
-	return book.Crashed(now, now, server, victims)
+	return tracker.RecordCrash(now, now, server, victims)
 }
 
-func (b *Book) holdsRequest(now time.Time, request testRequest) bool {
-	until, _ := b.RequestHeldUntil(now, request.attributes())
+func (t *Tracker) holdsRequest(now time.Time, request testRequest) bool {
+	until, _ := t.RequestHeldUntil(now, request.attributes())
 	return !until.IsZero()
 }
 
@@ -93,22 +93,22 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			book := NewBook()
+			tracker := NewTracker()
 			now := start
 			for number, requests := range c.crashes {
-				crashRequests(book, now, fmt.Sprint("server", number), requests...)
+				crashRequests(tracker, now, fmt.Sprint("server", number), requests...)
 				for _, served := range c.served {
-					book.Served(now, testDigest(served))
+					tracker.RecordSuccess(now, testDigest(served))
 				}
 				now = now.Add(crashInterval)
 			}
 			for _, request := range c.held {
-				if !book.holdsRequest(now, request) {
+				if !tracker.holdsRequest(now, request) {
 					t.Errorf("%v is not held", request)
 				}
 			}
 			for _, request := range c.free {
-				if book.holdsRequest(now, request) {
+				if tracker.holdsRequest(now, request) {
 					t.Errorf("%v is held", request)
 				}
 			}
@@ -119,39 +119,39 @@
 // TestPartThatEndsWellIsReleased covers parts that are held together: a successful request that has only one of them
 // clears that one, and the other one is then held by itself.
 func TestPartThatEndsWellIsReleased(t *testing.T) {
-	book := NewBook()
+	tracker := NewTracker()
 	now := start
 	for number := range partCrashLimit {
 		now = start.Add(time.Duration(number) * crashInterval)
-		crashRequests(book, now, fmt.Sprint("server", number), testRequest{fmt.Sprint(number), []string{"dead", "also"}})
+		crashRequests(tracker, now, fmt.Sprint("server", number), testRequest{fmt.Sprint(number), []string{"dead", "also"}})
 	}
-	if together := book.Together(testDigest("dead")); !slices.Equal(together, []Digest{testDigest("also")}) {
+	if together := tracker.HeldWith(testDigest("dead")); !slices.Equal(together, []Digest{testDigest("also")}) {
 		t.Errorf("held together with %v", together)
 	}
-	change := book.Served(now, testDigest("also"))
+	change := tracker.RecordSuccess(now, testDigest("also"))
 	if !slices.Equal(change.Released, []Digest{testDigest("also")}) {
 		t.Errorf("released: %v", change.Released)
 	}
-	if held := book.Held(now, KindPart); !slices.Equal(held, []Digest{testDigest("dead")}) {
+	if held := tracker.Held(now, KindPart); !slices.Equal(held, []Digest{testDigest("dead")}) {
 		t.Errorf("held: %v", held)
 	}
-	if held := book.Held(now, KindContent); len(held) > 0 {
+	if held := tracker.Held(now, KindContent); len(held) > 0 {
 		t.Errorf("contents held: %v", held)
 	}
 }
 
 // TestSuspectsOfARequest covers the order in which turns are taken: the content or part with the most crashes comes first.
 func TestSuspectsOfARequest(t *testing.T) {
-	book := NewBook()
+	tracker := NewTracker()
 	request := testRequest{"content", []string{"first", "dead", "once"}}
-	crashRequests(book, start, "one", testRequest{"other", []string{"first", "dead"}})
-	crashRequests(book, start.Add(crashInterval), "two", request)
-	book.Served(start.Add(crashInterval), testDigest("first"))
+	crashRequests(tracker, start, "one", testRequest{"other", []string{"first", "dead"}})
+	crashRequests(tracker, start.Add(crashInterval), "two", request)
+	tracker.RecordSuccess(start.Add(crashInterval), testDigest("first"))
 	now := start.Add(2 * crashInterval)
-	if got, want := book.SuspectsOf(now, request.attributes()), []Digest{testDigest("dead"), testDigest("content"), testDigest("once")}; !slices.Equal(got, want) {
+	if got, want := tracker.SuspectsOf(now, request.attributes()), []Digest{testDigest("dead"), testDigest("content"), testDigest("once")}; !slices.Equal(got, want) {
 		t.Errorf("suspects %v, want %v", got, want)
 	}
-	if pending := book.RequestPendingUntil(now, request.attributes()); !pending.IsZero() {
+	if pending := tracker.RequestPendingUntil(now, request.attributes()); !pending.IsZero() {
 		t.Errorf("pending until %v", pending)
 	}
 }
@@ -159,18 +159,18 @@
 // TestUnconfirmedCrashesKeepPartsWaiting covers servers behind relays: requests with a part wait while the confirmation
 // of a pending crash would hold the part.
 func TestUnconfirmedCrashesKeepPartsWaiting(t *testing.T) {
-	book := NewBook()
+	tracker := NewTracker()
 	for number := range partCrashLimit {
 		now := start.Add(time.Duration(number) * crashInterval)
 		attributes := testRequest{fmt.Sprint(number), []string{"dead"}}.attributes()
-		book.UnconfirmedCrash(now, now, fmt.Sprint(number), []Victim{{Content: attributes.Content, Parts: attributes.Parts, Began: now.Add(-runTime)}})
+		tracker.RecordUnconfirmedCrash(now, now, fmt.Sprint(number), []InterruptedRequest{{Content: attributes.Content, Parts: attributes.Parts, Began: now.Add(-runTime)}})
 	}
 	now := start.Add(partCrashLimit * crashInterval)
 	request := testRequest{"new", []string{"dead"}}
-	if until := book.RequestPendingUntil(now, request.attributes()); !until.After(now) {
+	if until := tracker.RequestPendingUntil(now, request.attributes()); !until.After(now) {
 		t.Errorf("pending until %v", until)
 	}
-	if book.holdsRequest(now, request) {
+	if tracker.holdsRequest(now, request) {
 		t.Error("held by unconfirmed crashes")
 	}
 }
@@ -178,19 +178,19 @@
 // TestLongPromptsDoNotFloodNews covers a crash under many requests with long prompts: the number of reported parts is
 // bounded, and the parts of the request that began last, the most likely cause, are reported.
 func TestLongPromptsDoNotFloodNews(t *testing.T) {
-	var victims []Victim
+	var victims []InterruptedRequest
 	for number := range 64 {
 		request := testRequest{content: fmt.Sprint("content", number)}
 		for part := range 32 {
 			request.parts = append(request.parts, fmt.Sprint(number, "/", part))
 		}
 		attributes := request.attributes()
-		victims = append(victims, Victim{Content: attributes.Content, Parts: attributes.Parts, Began: start.Add(time.Duration(number-64) * time.Millisecond)})
+		victims = append(victims, InterruptedRequest{Content: attributes.Content, Parts: attributes.Parts, Began: start.Add(time.Duration(number-64) * time.Millisecond)})
 	}
-	change := NewBook().Crashed(start, start, "server", victims)
+	change := NewTracker().RecordCrash(start, start, "server", victims)
 	reported := 0
 	ofLast := 0
-	for _, item := range change.News.Items {
+	for _, item := range change.Added.Items {
 		if item.Kind == KindPart {
 			reported++
 		}
@@ -208,37 +208,37 @@
 // TestFloodOfPartsPushesOutNothingThatIsHeld covers many parts that occur only once, as the turns of sessions do: they
 // must not evict a held part.
 func TestFloodOfPartsPushesOutNothingThatIsHeld(t *testing.T) {
-	book := NewBook()
+	tracker := NewTracker()
 	now := start
 	for number := range partCrashLimit {
 		now = now.Add(crashInterval)
-		crashRequests(book, now, fmt.Sprint("server", number), testRequest{fmt.Sprint("d", number), []string{"dead"}})
+		crashRequests(tracker, now, fmt.Sprint("server", number), testRequest{fmt.Sprint("d", number), []string{"dead"}})
 	}
 	for number := range maxRecords {
 		now = now.Add(time.Millisecond)
-		crashRequests(book, now, fmt.Sprint("flood", number), testRequest{fmt.Sprint("c", number), []string{fmt.Sprint("p", number)}})
+		crashRequests(tracker, now, fmt.Sprint("flood", number), testRequest{fmt.Sprint("c", number), []string{fmt.Sprint("p", number)}})
 	}
-	if !book.holdsRequest(now, testRequest{"new", []string{"dead"}}) {
+	if !tracker.holdsRequest(now, testRequest{"new", []string{"dead"}}) {
 		t.Error("a flood of parts has evicted the held part")
 	}
-	if len(book.records) > maxRecords {
-		t.Errorf("the book has %d contents and parts", len(book.records))
+	if len(tracker.records) > maxRecords {
+		t.Errorf("the book has %d contents and parts", len(tracker.records))
 	}
 }
 
 // TestLateNewsOfACrashDoesNotUndoAGoodEnd covers crashes that are reported only after a later successful run, as happens
 // while many servers crash at once: they do not count.
 func TestLateNewsOfACrashDoesNotUndoAGoodEnd(t *testing.T) {
-	book := NewBook()
+	tracker := NewTracker()
 	popular := testRequest{"one", []string{"popular"}}
-	crashRequests(book, start, "known", popular)
-	book.Served(start.Add(time.Second), testDigest("popular"))
+	crashRequests(tracker, start, "known", popular)
+	tracker.RecordSuccess(start.Add(time.Second), testDigest("popular"))
 	for number := range 2 * maxCrashesPerRecord {
 		at := start.Add(time.Duration(number) * time.Millisecond)
-		update := Update{Items: []Item{{Digest: testDigest("popular"), Kind: KindPart, Crashes: []Told{{Server: fmt.Sprint(number), Age: start.Add(2 * time.Second).Sub(at)}}}}}
-		book.Learn(start.Add(2*time.Second), update)
+		update := Update{Items: []Item{{Digest: testDigest("popular"), Kind: KindPart, Crashes: []CrashReport{{Server: fmt.Sprint(number), Age: start.Add(2 * time.Second).Sub(at)}}}}}
+		tracker.Merge(start.Add(2*time.Second), update)
 	}
-	if now := start.Add(2 * time.Second); book.Suspects(now, testDigest("popular")) {
+	if now := start.Add(2 * time.Second); tracker.IsSuspected(now, testDigest("popular")) {
 		t.Error("suspected because of crashes before its successful run")
 	}
 }
@@ -246,55 +246,55 @@
 // TestDoubtfulPartsAreTriedAgainSoon covers a part that was in a successful answer and then at several crashes in a row:
 // nothing can clear it while it is held, so the first holds are short.
 func TestDoubtfulPartsAreTriedAgainSoon(t *testing.T) {
-	book := NewBook()
+	tracker := NewTracker()
 	now := start
 	for number := range partCrashLimit + 1 {
 		now = now.Add(crashInterval)
-		crashRequests(book, now, fmt.Sprint(number), testRequest{fmt.Sprint(number), []string{"doubtful"}})
+		crashRequests(tracker, now, fmt.Sprint(number), testRequest{fmt.Sprint(number), []string{"doubtful"}})
 		if number == 0 {
-			book.Served(now.Add(crashInterval/2), testDigest("doubtful"))
+			tracker.RecordSuccess(now.Add(crashInterval/2), testDigest("doubtful"))
 		}
 	}
 	request := testRequest{"new", []string{"doubtful"}}
 	span := doubtfulHoldDuration
 	for round := range 3 {
-		if !book.holdsRequest(now.Add(span-1), request) || book.holdsRequest(now.Add(span), request) {
+		if !tracker.holdsRequest(now.Add(span-1), request) || tracker.holdsRequest(now.Add(span), request) {
 			t.Errorf("round %d: not held for %v", round, span)
 		}
 		now = now.Add(span)
-		if !book.Suspects(now, testDigest("doubtful")) {
+		if !tracker.IsSuspected(now, testDigest("doubtful")) {
 			t.Errorf("round %d: not suspected after the hold, so it runs without turns", round)
 		}
 		span *= doubtfulHoldFactor
 		now = now.Add(crashInterval)
-		crashRequests(book, now, fmt.Sprint("again", round), testRequest{fmt.Sprint("again", round), []string{"doubtful"}})
+		crashRequests(tracker, now, fmt.Sprint("again", round), testRequest{fmt.Sprint("again", round), []string{"doubtful"}})
 	}
 }
 
 // TestVerdictOutlastsNewsOfForgottenCrashes covers a part under which more servers crashed at once than its record keeps.
 // Other daemons report the evicted crashes repeatedly, with a slightly later time in each round: the part must stay held.
 func TestVerdictOutlastsNewsOfForgottenCrashes(t *testing.T) {
-	book := NewBook()
+	tracker := NewTracker()
 	for number := range 2 * maxCrashesPerRecord {
-		crashRequests(book, start, fmt.Sprint("burst", number), testRequest{fmt.Sprint(number), []string{"dead"}})
+		crashRequests(tracker, start, fmt.Sprint("burst", number), testRequest{fmt.Sprint(number), []string{"dead"}})
 	}
 	now := start.Add(crashInterval)
 	for number := range partCrashLimit {
 		now = now.Add(crashInterval)
-		crashRequests(book, now, fmt.Sprint("after", number), testRequest{fmt.Sprint("after", number), []string{"dead"}})
+		crashRequests(tracker, now, fmt.Sprint("after", number), testRequest{fmt.Sprint("after", number), []string{"dead"}})
 	}
 	for round := range 100 {
 		now = now.Add(crashInterval / 10)
 		for number := range 2 * maxCrashesPerRecord {
 			delayed := time.Duration(round) * 50 * time.Millisecond
-			report := Told{Server: fmt.Sprint("burst", number), Age: now.Sub(start) - delayed, Ran: runTime}
-			book.Learn(now, Update{Items: []Item{{Digest: testDigest("dead"), Kind: KindPart, Crashes: []Told{report}}}})
+			report := CrashReport{Server: fmt.Sprint("burst", number), Age: now.Sub(start) - delayed, Ran: runTime}
+			tracker.Merge(now, Update{Items: []Item{{Digest: testDigest("dead"), Kind: KindPart, Crashes: []CrashReport{report}}}})
 		}
-		if !book.holdsRequest(now, testRequest{"new", []string{"dead"}}) {
+		if !tracker.holdsRequest(now, testRequest{"new", []string{"dead"}}) {
 			t.Fatalf("released in round %d by reports of evicted crashes", round)
 		}
 	}
-	if len(book.records[testDigest("dead")].crashes) > maxCrashesPerRecord {
+	if len(tracker.records[testDigest("dead")].crashes) > maxCrashesPerRecord {
 		t.Error("the record has more crashes than the limit")
 	}
 }
@@ -303,21 +303,21 @@
 // another order: it holds the part that they hold, unless there was a successful answer since.
 func TestVerdictOfOthersMakesUpForACrash(t *testing.T) {
 	for _, cleared := range []bool{false, true} {
-		sender, receiver := NewBook(), NewBook()
+		sender, receiver := NewTracker(), NewTracker()
 		for number := range partCrashLimit {
 			now := start.Add(time.Duration(number) * crashInterval)
 			change := crashRequests(sender, now, fmt.Sprint(number), testRequest{fmt.Sprint(number), []string{"dead"}})
 			if number == 1 {
-				receiver.Learn(now, change.News)
+				receiver.Merge(now, change.Added)
 			}
 		}
 		now := start.Add(partCrashLimit * crashInterval)
 		item := sender.Evidence(now, testDigest("dead"))
 		item.Crashes = item.Crashes[:partCrashLimit-1]
 		if cleared {
-			receiver.Served(now, testDigest("dead"))
+			receiver.RecordSuccess(now, testDigest("dead"))
 		}
-		receiver.Learn(now, Update{Items: []Item{item}})
+		receiver.Merge(now, Update{Items: []Item{item}})
 		if held := receiver.holdsRequest(now, testRequest{"new", []string{"dead"}}); held == cleared {
 			t.Errorf("held: %v, cleared: %v", held, cleared)
 		}
--- a/quarantine/partsimulation_test.go
+++ b/quarantine/partsimulation_test.go
@@ -34,7 +34,7 @@
 	scenario partScenario
 	random   *rand.Rand
 	now      time.Time
-	book     *Book
+	book     *Tracker
 	servers  []*partServer
 	waiting  []*partRequest
 	events   []event
@@ -57,7 +57,7 @@
 
 func newPartSimulation(chosen partPolicy, scenario partScenario, seed uint64) *partSimulation {
 	s := &partSimulation{
-		policy: chosen, scenario: scenario, random: rand.New(rand.NewPCG(seed, 66)), now: start, book: NewBook(),
+		policy: chosen, scenario: scenario, random: rand.New(rand.NewPCG(seed, 66)), now: start, book: NewTracker(),
 		crashes: map[string][]time.Time{}, sends: map[string][]time.Time{}, servedAt: map[Digest]time.Time{}, nextTurnAt: map[Digest]time.Time{},
 	}
 	s.book.partLimit = chosen.limit
@@ -153,7 +153,7 @@
 func (s *partSimulation) suspects(request *partRequest) []Digest {
 	var list []Digest
 	request.eachDigest(func(kind Kind, digest Digest) {
-		if (kind == KindContent || !s.policy.contentsOnly) && s.book.Suspects(s.now, digest) {
+		if (kind == KindContent || !s.policy.contentsOnly) && s.book.IsSuspected(s.now, digest) {
 			list = append(list, digest)
 		}
 	})
@@ -235,7 +235,7 @@
 		s.recordOutcome(request, true, false)
 		request.eachDigest(func(_ Kind, digest Digest) { s.servedAt[digest] = s.now })
 		s.schedule(reportDelay, func(now time.Time) {
-			request.eachDigest(func(_ Kind, digest Digest) { s.book.Served(now, digest) })
+			request.eachDigest(func(_ Kind, digest Digest) { s.book.RecordSuccess(now, digest) })
 		})
 		return true
 	})
@@ -259,7 +259,7 @@
 	at := s.now
 	server := fmt.Sprint(number, "/", worker.incarnation)
 	for _, request := range worker.running {
-		crash := Told{Server: server, Ran: s.now.Sub(request.began)}
+		crash := CrashReport{Server: server, Ran: s.now.Sub(request.began)}
 		request.eachDigest(func(kind Kind, digest Digest) {
 			switch {
 			case kind == KindContent:
@@ -268,14 +268,14 @@
 			case s.policy.partsAsContents:
 				kind = KindContent
 			}
-			update.Items = append(update.Items, Item{Digest: digest, Kind: kind, Crashes: []Told{crash}})
+			update.Items = append(update.Items, Item{Digest: digest, Kind: kind, Crashes: []CrashReport{crash}})
 		})
 		s.resend(request)
 	}
 	worker.running = nil
 	s.schedule(reportDelay, func(now time.Time) {
-		update.Wait(now.Sub(at))
-		s.book.Learn(now, update)
+		update.AddAge(now.Sub(at))
+		s.book.Merge(now, update)
 	})
 }
 
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -10,10 +10,10 @@
 	// server, and a client sends each of them once or twice more. So a harmless content meets two crashes in a row by
 	// chance now and then, but three hardly ever (see TestHarmlessContentsAreHardlyEverHeld).
 	crashLimit = 3
-	// HoldSpan is how long a content is held after the last crash under it. The next request with the content then
+	// HoldDuration is how long a content is held after the last crash under it. The next request with the content then
 	// reaches a server; if that server crashes too, the content is held again. A cause that is not fixed therefore crashes
 	// at most six servers an hour, in addition to servers that receive the content at the same moment.
-	HoldSpan = 10 * time.Minute
+	HoldDuration = 10 * time.Minute
 	// doubtfulHoldDuration is the first hold of a part that has been in a successful answer since it was first suspected.
 	// Each further crash multiplies the hold by doubtfulHoldFactor. A part that most requests of a route share may be
 	// present at several crashes in a row by chance, and nothing can clear it while it is held.
@@ -72,10 +72,10 @@
 	return servers
 }
 
-// Book tracks which contents and shared parts of prompts were running on servers that crashed, and decides which of them
-// are held: requests with a held content or part are not sent to servers. Books with the same information make the same
-// decisions, whatever the order in which they received it. A Book is not safe for concurrent use.
-type Book struct {
+// Tracker tracks which contents and shared parts of prompts were running on servers that crashed, and decides which of them
+// are held: requests with a held content or part are not sent to servers. Trackers with the same information make the same
+// decisions, whatever the order in which they received it. A Tracker is not safe for concurrent use.
+type Tracker struct {
 	// limit is the number of crashes from which a content is held, partLimit the number for a part.
 	limit, partLimit int
 
@@ -84,29 +84,29 @@
 	digestsAtCrash map[string][]Digest
 }
 
-// NewBook returns a book without records.
-func NewBook() *Book {
-	return &Book{limit: crashLimit, partLimit: partCrashLimit, records: map[Digest]*record{}, digestsAtCrash: map[string][]Digest{}}
+// NewTracker returns a tracker without records.
+func NewTracker() *Tracker {
+	return &Tracker{limit: crashLimit, partLimit: partCrashLimit, records: map[Digest]*record{}, digestsAtCrash: map[string][]Digest{}}
 }
 
 // Empty reports whether no content is suspected.
-func (b *Book) Empty() bool { return len(b.records) == 0 }
+func (t *Tracker) Empty() bool { return len(t.records) == 0 }
 
-// Suspects reports whether a content ran on a server with a confirmed or pending crash and has had no successful run
+// IsSuspected reports whether a content ran on a server with a confirmed or pending crash and has had no successful run
 // since.
-func (b *Book) Suspects(now time.Time, content Digest) bool {
-	rec := b.records[content]
+func (t *Tracker) IsSuspected(now time.Time, content Digest) bool {
+	rec := t.records[content]
 	return rec != nil && (rec.crashCount > 0 || !rec.confirmDeadline(now).IsZero())
 }
 
 // PendingUntil returns until when a content must wait because it would be held if its pending crashes were confirmed;
 // the zero time if it may run.
-func (b *Book) PendingUntil(now time.Time, content Digest) time.Time {
-	rec := b.records[content]
-	if rec == nil || rec.crashCount >= b.limitOf(rec.kind) {
+func (t *Tracker) PendingUntil(now time.Time, content Digest) time.Time {
+	rec := t.records[content]
+	if rec == nil || rec.crashCount >= t.limitOf(rec.kind) {
 		return time.Time{}
 	}
-	if rec.longestChain(func(seen crash) bool { return seen.counts() || seen.pending(now) }) < b.limitOf(rec.kind) {
+	if rec.longestChain(func(seen crash) bool { return seen.counts() || seen.pending(now) }) < t.limitOf(rec.kind) {
 		return time.Time{}
 	}
 	return rec.confirmDeadline(now)
@@ -125,8 +125,8 @@
 }
 
 // HeldUntil returns until when requests with a content are not sent to servers; the zero time if the content is not held.
-func (b *Book) HeldUntil(now time.Time, content Digest) time.Time {
-	rec := b.records[content]
+func (t *Tracker) HeldUntil(now time.Time, content Digest) time.Time {
+	rec := t.records[content]
 	if rec == nil || !rec.held {
 		return time.Time{}
 	}
@@ -136,13 +136,13 @@
 // holdDuration is how long the record holds requests after its last crash.
 func (r *record) holdDuration() time.Duration {
 	if r.kind != KindPart || r.clearedAt.IsZero() {
-		return HoldSpan
+		return HoldDuration
 	}
 	duration := doubtfulHoldDuration
-	for crashes := partCrashLimit; crashes < r.crashCount && duration < HoldSpan; crashes++ {
+	for crashes := partCrashLimit; crashes < r.crashCount && duration < HoldDuration; crashes++ {
 		duration *= doubtfulHoldFactor
 	}
-	return min(duration, HoldSpan)
+	return min(duration, HoldDuration)
 }
 
 // holdsUntil returns until when the record holds requests; the zero time if that time has passed.
@@ -154,10 +154,10 @@
 	return until
 }
 
-// Change lists the effects of an update on a book.
+// Change lists the effects of an update on a tracker.
 type Change struct {
-	// News is the part of the update that was new.
-	News Update
+	// Added is the part of the update that was new.
+	Added Update
 	// Held are the contents that are held now and were not before, Released those that are no longer held.
 	Held, Released []Digest
 	// Durable are the contents whose evidence must be written to the store, because it has become durable or the
@@ -165,8 +165,8 @@
 	Durable, NoLongerDurable []Digest
 }
 
-// Victim is a request that was running on a server when it crashed.
-type Victim struct {
+// InterruptedRequest is a request that was running on a server when it crashed.
+type InterruptedRequest struct {
 	Content Digest
 	// Parts are the shared parts of its prompt that may be the cause.
 	Parts []Part
@@ -174,30 +174,30 @@
 	Began time.Time
 }
 
-// Crashed records the contents that this daemon was running on a server when it crashed.
-func (b *Book) Crashed(now, at time.Time, server string, victims []Victim) Change {
-	return b.addCrash(now, at, server, victims, false)
+// RecordCrash records the contents that this daemon was running on a server when it crashed.
+func (t *Tracker) RecordCrash(now, at time.Time, server string, victims []InterruptedRequest) Change {
+	return t.addCrash(now, at, server, victims, false)
 }
 
-// UnconfirmedCrash records the contents that this daemon was running on a server that closes new connections.
-func (b *Book) UnconfirmedCrash(now, at time.Time, server string, victims []Victim) Change {
-	return b.addCrash(now, at, server, victims, true)
+// RecordUnconfirmedCrash records the contents that this daemon was running on a server that closes new connections.
+func (t *Tracker) RecordUnconfirmedCrash(now, at time.Time, server string, victims []InterruptedRequest) Change {
+	return t.addCrash(now, at, server, victims, true)
 }
 
-func (b *Book) addCrash(now, at time.Time, server string, victims []Victim, unconfirmed bool) Change {
+func (t *Tracker) addCrash(now, at time.Time, server string, victims []InterruptedRequest, unconfirmed bool) Change {
 	var update Update
 	left := maxPartsPerCrash
 	for _, victim := range latestStartFirst(victims) {
-		crash := Told{Server: server, Age: now.Sub(at), Ran: max(0, at.Sub(victim.Began)), Unconfirmed: unconfirmed}
-		update.Items = append(update.Items, Item{Digest: victim.Content, Crashes: []Told{crash}})
+		crash := CrashReport{Server: server, Age: now.Sub(at), Ran: max(0, at.Sub(victim.Began)), Unconfirmed: unconfirmed}
+		update.Items = append(update.Items, Item{Digest: victim.Content, Crashes: []CrashReport{crash}})
 		for _, part := range victim.Parts[:min(len(victim.Parts), left)] {
 			left--
-			update.Items = append(update.Items, Item{Digest: part.Digest, Kind: KindPart, Crashes: []Told{crash}})
+			update.Items = append(update.Items, Item{Digest: part.Digest, Kind: KindPart, Crashes: []CrashReport{crash}})
 		}
 	}
-	change := b.Learn(now, update)
+	change := t.Merge(now, update)
 	for i := range update.Items {
-		if rec := b.records[update.Items[i].Digest]; rec != nil {
+		if rec := t.records[update.Items[i].Digest]; rec != nil {
 			rec.observedLocally = true
 		}
 	}
@@ -209,19 +209,19 @@
 
 // latestStartFirst orders requests so that the most likely causes come first: a server crashes soon after it begins to
 // run the request that crashes it.
-func latestStartFirst(victims []Victim) []Victim {
-	return slices.SortedStableFunc(slices.Values(victims), func(one, other Victim) int { return other.Began.Compare(one.Began) })
+func latestStartFirst(victims []InterruptedRequest) []InterruptedRequest {
+	return slices.SortedStableFunc(slices.Values(victims), func(one, other InterruptedRequest) int { return other.Began.Compare(one.Began) })
 }
 
-// Witnessed reports whether this daemon itself sent a content to a server that crashed.
-func (b *Book) Witnessed(content Digest) bool {
-	rec := b.records[content]
+// ObservedLocally reports whether this daemon itself sent a content to a server that crashed.
+func (t *Tracker) ObservedLocally(content Digest) bool {
+	rec := t.records[content]
 	return rec != nil && rec.observedLocally
 }
 
-// Served records a successful run of a content: none of the crashes so far counts against it.
-func (b *Book) Served(now time.Time, content Digest) Change {
-	rec := b.records[content]
+// RecordSuccess records a successful run of a content: none of the crashes so far counts against it.
+func (t *Tracker) RecordSuccess(now time.Time, content Digest) Change {
+	rec := t.records[content]
 	if rec == nil {
 		return Change{}
 	}
@@ -230,34 +230,34 @@
 		item.Crashes = append(item.Crashes, rec.crashes[server].report(now, server))
 		item.Crashes[len(item.Crashes)-1].Void = true
 	}
-	return b.Learn(now, Update{Items: []Item{item}})
+	return t.Merge(now, Update{Items: []Item{item}})
 }
 
-// Learn merges an update of another book, and returns what changed.
-func (b *Book) Learn(now time.Time, update Update) Change {
+// Merge merges an update of another tracker, and returns what changed.
+func (t *Tracker) Merge(now time.Time, update Update) Change {
 	var change Change
 	affected := map[Digest]bool{}
 	for i := range update.Items {
 		item := &update.Items[i]
 		added := Item{Digest: item.Digest, Kind: item.Kind}
-		for _, report := range slices.Concat(b.clear(now, item), item.Crashes) {
-			if b.mergeCrash(now, item, report) {
+		for _, report := range slices.Concat(t.clear(now, item), item.Crashes) {
+			if t.mergeCrash(now, item, report) {
 				added.Crashes = append(added.Crashes, report)
 			}
 		}
 		if len(added.Crashes) > 0 {
-			added.Cleared, added.ClearedAge = b.records[item.Digest].cleared(now)
-			change.News.Items = append(change.News.Items, added)
+			added.Cleared, added.ClearedAge = t.records[item.Digest].cleared(now)
+			change.Added.Items = append(change.Added.Items, added)
 		}
-		if b.mergeRemoteHold(now, item) {
+		if t.mergeRemoteHold(now, item) {
 			affected[item.Digest] = true
 		}
 	}
-	b.addAffected(&change.News, affected)
+	t.addAffected(&change.Added, affected)
 	for content := range affected {
-		rec := b.records[content]
+		rec := t.records[content]
 		before, durable := rec.holds(), rec.durable
-		b.updateHold(content, rec)
+		t.updateHold(content, rec)
 		rec.durable = rec.crashCount >= durableCrashCount
 		switch {
 		case rec.durable && (!durable || rec.holds() && !before):
@@ -284,13 +284,13 @@
 }
 
 // clear merges the end of the last successful run into the record, and returns the crashes that no longer count.
-func (b *Book) clear(now time.Time, item *Item) []Told {
-	rec, at := b.records[item.Digest], item.clearedAt(now)
+func (t *Tracker) clear(now time.Time, item *Item) []CrashReport {
+	rec, at := t.records[item.Digest], item.clearedAt(now)
 	if rec == nil || !at.After(rec.clearedAt) {
 		return nil
 	}
 	rec.clearedAt = at
-	var void []Told
+	var void []CrashReport
 	for _, server := range rec.suspectServers() {
 		if seen := rec.crashes[server]; !seen.at.After(at) {
 			seen.void = true
@@ -301,8 +301,8 @@
 }
 
 // mergeRemoteHold records that another daemon holds a part, and reports whether that is new.
-func (b *Book) mergeRemoteHold(now time.Time, item *Item) bool {
-	rec := b.records[item.Digest]
+func (t *Tracker) mergeRemoteHold(now time.Time, item *Item) bool {
+	rec := t.records[item.Digest]
 	if rec == nil || !item.Held {
 		return false
 	}
@@ -321,14 +321,14 @@
 
 // addAffected adds the contents and parts whose hold may depend on the changed items: all that were present at a crash of
 // one of these items.
-func (b *Book) addAffected(changed *Update, affected map[Digest]bool) {
+func (t *Tracker) addAffected(changed *Update, affected map[Digest]bool) {
 	for i := range changed.Items {
-		rec := b.records[changed.Items[i].Digest]
+		rec := t.records[changed.Items[i].Digest]
 		if rec == nil {
 			continue
 		}
 		for server := range rec.crashes {
-			for _, content := range b.digestsAtCrash[server] {
+			for _, content := range t.digestsAtCrash[server] {
 				affected[content] = true
 			}
 		}
@@ -336,17 +336,17 @@
 }
 
 // mergeCrash merges one crash under a content or part, and reports whether it added information.
-func (b *Book) mergeCrash(now time.Time, item *Item, report Told) bool {
+func (t *Tracker) mergeCrash(now time.Time, item *Item, report CrashReport) bool {
 	content := item.Digest
 	reported := report.crash(now)
 	if now.Sub(reported.at) >= crashRetention {
 		return false
 	}
-	rec := b.records[content]
+	rec := t.records[content]
 	if rec == nil {
-		b.evictIfFull(now)
+		t.evictIfFull(now)
 		rec = &record{kind: item.Kind, crashes: map[string]crash{}, clearedAt: item.clearedAt(now)}
-		b.records[content] = rec
+		t.records[content] = rec
 	}
 	before, seen := rec.crashes[report.Server]
 	if !seen {
@@ -354,9 +354,9 @@
 			if !rec.acceptsWhenFull(report.Server, reported) {
 				return false
 			}
-			b.removeCrash(content, rec.leastRelevantCrash())
+			t.removeCrash(content, rec.leastRelevantCrash())
 		}
-		b.digestsAtCrash[report.Server] = append(b.digestsAtCrash[report.Server], content)
+		t.digestsAtCrash[report.Server] = append(t.digestsAtCrash[report.Server], content)
 		before = reported
 	}
 	// Of several reports of one crash, the earliest times are the most accurate.
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -25,24 +25,24 @@
 )
 
 // crashContents records a crash of a server that had been running the contents of the given names for runTime.
-func crashContents(book *Book, now time.Time, server string, contents ...string) Change {
-	var victims []Victim
+func crashContents(tracker *Tracker, now time.Time, server string, contents ...string) Change {
+	var victims []InterruptedRequest
 	for _, name := range contents {
-		victims = append(victims, Victim{Content: testDigest(name), Began: now.Add(-runTime)})
+		victims = append(victims, InterruptedRequest{Content: testDigest(name), Began: now.Add(-runTime)})
 	}
-	return book.Crashed(now, now, server, victims)
+	return tracker.RecordCrash(now, now, server, victims)
 }
 
 // crashInSequence records crashes of several servers under one content, the last one now.
-func crashInSequence(book *Book, now time.Time, count int, content string) (last Change) {
+func crashInSequence(tracker *Tracker, now time.Time, count int, content string) (last Change) {
 	for number := range count {
-		last = crashContents(book, now.Add(time.Duration(number-count+1)*crashInterval), fmt.Sprint("server", number), content)
+		last = crashContents(tracker, now.Add(time.Duration(number-count+1)*crashInterval), fmt.Sprint("server", number), content)
 	}
 	return last
 }
 
-func (b *Book) holdsContentNamed(now time.Time, name string) bool {
-	return !b.HeldUntil(now, testDigest(name)).IsZero()
+func (t *Tracker) holdsContentNamed(now time.Time, name string) bool {
+	return !t.HeldUntil(now, testDigest(name)).IsZero()
 }
 
 func TestVerdicts(t *testing.T) {
@@ -66,12 +66,12 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			book := NewBook()
+			tracker := NewTracker()
 			for number, contents := range c.crashes {
-				crashContents(book, start.Add(time.Duration(number)*crashInterval), fmt.Sprint("server", number), contents...)
+				crashContents(tracker, start.Add(time.Duration(number)*crashInterval), fmt.Sprint("server", number), contents...)
 			}
 			for _, name := range []string{"a", "b", "c", "d", "e", "f", "g"} {
-				if got := book.holdsContentNamed(start, name); got != slices.Contains(c.held, name) {
+				if got := tracker.holdsContentNamed(start, name); got != slices.Contains(c.held, name) {
 					t.Errorf("%s held: %v", name, got)
 				}
 			}
@@ -81,13 +81,13 @@
 
 // TestCrashThatIsToldAgainCountsOnce covers one crash that several daemons observe and report, late and more than once.
 func TestCrashThatIsToldAgainCountsOnce(t *testing.T) {
-	book := NewBook()
+	tracker := NewTracker()
 	for number := range 6 {
 		now := start.Add(time.Duration(number) * crashInterval)
-		crashContents(book, now, "server", "a")
-		crashContents(book, now, "another", "a")
+		crashContents(tracker, now, "server", "a")
+		crashContents(tracker, now, "another", "a")
 	}
-	if book.holdsContentNamed(start, "a") {
+	if tracker.holdsContentNamed(start, "a") {
 		t.Error("two crashes that are reported repeatedly count as more than two")
 	}
 }
@@ -95,40 +95,40 @@
 // TestServersThatEndTogetherCountAsOne covers a rack failure: a content that many clients send runs on all servers of the
 // rack, and no run of it has had the time to succeed since.
 func TestServersThatEndTogetherCountAsOne(t *testing.T) {
-	book := NewBook()
+	tracker := NewTracker()
 	for number := range 8 {
-		crashContents(book, start.Add(time.Duration(number)*runTime/16), fmt.Sprint("server", number), "popular")
+		crashContents(tracker, start.Add(time.Duration(number)*runTime/16), fmt.Sprint("server", number), "popular")
 	}
-	if book.holdsContentNamed(start, "popular") {
+	if tracker.holdsContentNamed(start, "popular") {
 		t.Error("servers that ended at one moment count as several crashes")
 	}
-	crashContents(book, start.Add(crashInterval), "later", "popular")
-	crashContents(book, start.Add(2*crashInterval), "latest", "popular")
-	if !book.holdsContentNamed(start.Add(2*crashInterval), "popular") {
+	crashContents(tracker, start.Add(crashInterval), "later", "popular")
+	crashContents(tracker, start.Add(2*crashInterval), "latest", "popular")
+	if !tracker.holdsContentNamed(start.Add(2*crashInterval), "popular") {
 		t.Error("not held although two more servers crashed, each under a run that began after the preceding crash")
 	}
 }
 
 func TestRunThatEndsWellClearsAContent(t *testing.T) {
-	book, other := NewBook(), NewBook()
+	tracker, other := NewTracker(), NewTracker()
 	for number := range 2 {
 		now := start.Add(time.Duration(number-2) * crashInterval)
-		other.Learn(now, crashContents(book, now, fmt.Sprint("server", number), "a").News)
+		other.Merge(now, crashContents(tracker, now, fmt.Sprint("server", number), "a").Added)
 	}
-	served := other.Served(start, testDigest("a"))
+	served := other.RecordSuccess(start, testDigest("a"))
 	// The update about the successful run and a third crash can arrive in either order.
-	third := crashContents(book, start, "server2", "a")
+	third := crashContents(tracker, start, "server2", "a")
 	if len(third.Held) != 1 {
 		t.Fatal("not held after three crashes")
 	}
-	if change := book.Learn(start, served.News); len(change.Released) != 1 || book.holdsContentNamed(start, "a") {
+	if change := tracker.Merge(start, served.Added); len(change.Released) != 1 || tracker.holdsContentNamed(start, "a") {
 		t.Error("still held after a successful run")
 	}
-	other.Learn(start, third.News)
+	other.Merge(start, third.Added)
 	if other.holdsContentNamed(start, "a") {
 		t.Error("held by one crash after a successful run")
 	}
-	if book.Suspects(start, testDigest("b")) || other.Served(start, testDigest("b")).News.Items != nil {
+	if tracker.IsSuspected(start, testDigest("b")) || other.RecordSuccess(start, testDigest("b")).Added.Items != nil {
 		t.Error("a content that never ran has a record")
 	}
 }
@@ -136,86 +136,86 @@
 // TestHoldingEnds covers the time after a hold has expired: the content may run again, and one further crash holds it
 // again.
 func TestHoldingEnds(t *testing.T) {
-	book := NewBook()
-	crashInSequence(book, start, 3, "a")
-	if until := book.HeldUntil(start, testDigest("a")); until != start.Add(HoldSpan) {
+	tracker := NewTracker()
+	crashInSequence(tracker, start, 3, "a")
+	if until := tracker.HeldUntil(start, testDigest("a")); until != start.Add(HoldDuration) {
 		t.Errorf("held until %v", until)
 	}
-	later := start.Add(HoldSpan)
-	if book.holdsContentNamed(later, "a") {
+	later := start.Add(HoldDuration)
+	if tracker.holdsContentNamed(later, "a") {
 		t.Error("the hold does not expire")
 	}
-	crashContents(book, later, "server3", "a")
-	if !book.holdsContentNamed(later, "a") {
+	crashContents(tracker, later, "server3", "a")
+	if !tracker.holdsContentNamed(later, "a") {
 		t.Error("not held again after one further crash")
 	}
-	book.Forget(later.Add(crashRetention))
-	if !book.Empty() {
+	tracker.Prune(later.Add(crashRetention))
+	if !tracker.Empty() {
 		t.Error("the record does not expire")
 	}
 }
 
 // TestFloodOfContentsPushesOutNothingThatIsHeld covers a client that crashes each server with a different content: the
-// book stays bounded, and contents that have crashed several servers are not evicted.
+// tracker stays bounded, and contents that have crashed several servers are not evicted.
 func TestFloodOfContentsPushesOutNothingThatIsHeld(t *testing.T) {
-	book := NewBook()
-	crashInSequence(book, start, 3, "a")
+	tracker := NewTracker()
+	crashInSequence(tracker, start, 3, "a")
 	for number := range 2 * maxRecords {
-		crashContents(book, start.Add(time.Second), fmt.Sprint("other", number), fmt.Sprint("f", number))
+		crashContents(tracker, start.Add(time.Second), fmt.Sprint("other", number), fmt.Sprint("f", number))
 	}
-	if !book.holdsContentNamed(start, "a") {
+	if !tracker.holdsContentNamed(start, "a") {
 		t.Error("a held content was evicted")
 	}
-	if len(book.records) > maxRecords || len(book.digestsAtCrash) > maxRecords+3 {
-		t.Errorf("the book has %d contents and %d servers", len(book.records), len(book.digestsAtCrash))
+	if len(tracker.records) > maxRecords || len(tracker.digestsAtCrash) > maxRecords+3 {
+		t.Errorf("the book has %d contents and %d servers", len(tracker.records), len(tracker.digestsAtCrash))
 	}
 }
 
 // TestClearedContentsAreForgottenSoon guards against records of cleared contents that outlive clearedRetention: while the
-// book has any record, the digest of each request is computed.
+// tracker has any record, the digest of each request is computed.
 func TestClearedContentsAreForgottenSoon(t *testing.T) {
-	book := NewBook()
-	crashContents(book, start, "server", "cleared", "suspect")
-	book.Served(start, testDigest("cleared"))
+	tracker := NewTracker()
+	crashContents(tracker, start, "server", "cleared", "suspect")
+	tracker.RecordSuccess(start, testDigest("cleared"))
 	later := start.Add(clearedRetention)
-	book.Forget(later)
-	if book.records[testDigest("cleared")] != nil || !book.Suspects(start, testDigest("suspect")) {
+	tracker.Prune(later)
+	if tracker.records[testDigest("cleared")] != nil || !tracker.IsSuspected(start, testDigest("suspect")) {
 		t.Error("the cleared content is still recorded, or the suspected one no longer is")
 	}
 }
 
 func TestCrashesOfOneContentAreBounded(t *testing.T) {
-	book := NewBook()
+	tracker := NewTracker()
 	now := start
 	for number := range 3 * maxCrashesPerRecord {
 		now = now.Add(time.Minute)
-		crashContents(book, now, fmt.Sprint("server", number), "a")
+		crashContents(tracker, now, fmt.Sprint("server", number), "a")
 	}
-	if count := len(book.records[testDigest("a")].crashes); count != maxCrashesPerRecord {
+	if count := len(tracker.records[testDigest("a")].crashes); count != maxCrashesPerRecord {
 		t.Errorf("the record has %d crashes", count)
 	}
-	if !book.holdsContentNamed(now, "a") {
+	if !tracker.holdsContentNamed(now, "a") {
 		t.Error("not held after the last crash")
 	}
 }
 
 func TestNewestTellsWhatOthersMayLack(t *testing.T) {
-	book, joined := NewBook(), NewBook()
-	crashInSequence(book, start, 3, "held")
-	crashContents(book, start, "server9", "old")
+	tracker, joined := NewTracker(), NewTracker()
+	crashInSequence(tracker, start, 3, "held")
+	crashContents(tracker, start, "server9", "old")
 	later := start.Add(time.Minute)
-	crashContents(book, later, "server8", "new")
-	joined.Learn(later, book.Newest(later, time.Second))
-	if !joined.holdsContentNamed(later, "held") || !joined.Suspects(later, testDigest("new")) || joined.Suspects(later, testDigest("old")) {
+	crashContents(tracker, later, "server8", "new")
+	joined.Merge(later, tracker.Snapshot(later, time.Second))
+	if !joined.holdsContentNamed(later, "held") || !joined.IsSuspected(later, testDigest("new")) || joined.IsSuspected(later, testDigest("old")) {
 		t.Error("a daemon that joins does not receive exactly the contents that are held or new")
 	}
-	if got, want := joined.HeldUntil(later, testDigest("held")), start.Add(HoldSpan); got != want {
+	if got, want := joined.HeldUntil(later, testDigest("held")), start.Add(HoldDuration); got != want {
 		t.Errorf("held until %v, want %v", got, want)
 	}
 }
 
-// TestOrderOfNewsDoesNotMatter merges the same updates on contents and parts into two books in different orders, some of
-// them twice: both books must hold the same contents and parts.
+// TestOrderOfNewsDoesNotMatter merges the same updates on contents and parts into two trackers in different orders, some of
+// them twice: both trackers must hold the same contents and parts.
 func TestOrderOfNewsDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		contents := []string{"a", "b", "c", "d", "e", "f", "g"}
@@ -229,7 +229,7 @@
 			updates = append(updates, Update{Items: []Item{{
 				Digest: testDigest(name), Kind: kind,
 				Cleared: rapid.IntRange(0, 9).Draw(t, "cleared") == 0, ClearedAge: time.Duration(rapid.IntRange(0, 40).Draw(t, "cleared age")) * 50 * time.Millisecond,
-				Crashes: []Told{{
+				Crashes: []CrashReport{{
 					Server: fmt.Sprint(rapid.IntRange(0, 6).Draw(t, "server")),
 					Age:    time.Duration(rapid.IntRange(0, 40).Draw(t, "age")) * 50 * time.Millisecond,
 					Ran:    time.Duration(rapid.IntRange(0, 10).Draw(t, "ran")) * 50 * time.Millisecond,
@@ -238,18 +238,18 @@
 			}}})
 		}
 		shuffled := rapid.Permutation(slices.Concat(updates, updates[:len(updates)/2])).Draw(t, "order")
-		one, two := NewBook(), NewBook()
+		one, two := NewTracker(), NewTracker()
 		for _, update := range updates {
-			one.Learn(start, update)
+			one.Merge(start, update)
 		}
 		for _, update := range shuffled {
-			two.Learn(start, update)
+			two.Merge(start, update)
 		}
 		for _, name := range contents {
 			if one.holdsContentNamed(start, name) != two.holdsContentNamed(start, name) {
 				t.Fatalf("%s: %v in one order, %v in another", name, one.holdsContentNamed(start, name), two.holdsContentNamed(start, name))
 			}
-			if first, second := len(one.Together(testDigest(name))), len(two.Together(testDigest(name))); first != second {
+			if first, second := len(one.HeldWith(testDigest(name))), len(two.HeldWith(testDigest(name))); first != second {
 				t.Fatalf("%s: held together with %d others in one order, %d in another", name, first, second)
 			}
 		}
@@ -259,33 +259,35 @@
 // TestUnconfirmedCrashes covers servers that close new connections. It guards against copies of a content being sent while
 // crashes are pending, and against contents being held by unconfirmed crashes.
 func TestUnconfirmedCrashes(t *testing.T) {
-	victims := func(now time.Time) []Victim { return []Victim{{Content: testDigest("a"), Began: now.Add(-runTime)}} }
-	book, now := NewBook(), start
+	victims := func(now time.Time) []InterruptedRequest {
+		return []InterruptedRequest{{Content: testDigest("a"), Began: now.Add(-runTime)}}
+	}
+	tracker, now := NewTracker(), start
 	for number := range crashLimit {
-		if until := book.PendingUntil(now, testDigest("a")); !until.IsZero() {
+		if until := tracker.PendingUntil(now, testDigest("a")); !until.IsZero() {
 			t.Fatalf("the run on server %d waits until %v", number, until)
 		}
 		now = now.Add(crashInterval)
-		book.UnconfirmedCrash(now, now, fmt.Sprint("server", number), victims(now))
+		tracker.RecordUnconfirmedCrash(now, now, fmt.Sprint("server", number), victims(now))
 	}
-	if book.holdsContentNamed(now, "a") || !book.Suspects(now, testDigest("a")) {
+	if tracker.holdsContentNamed(now, "a") || !tracker.IsSuspected(now, testDigest("a")) {
 		t.Error("unconfirmed crashes hold the content, or it is not suspected")
 	}
-	if until := book.PendingUntil(now, testDigest("a")); !until.Equal(start.Add(crashInterval + confirmationTimeout)) {
+	if until := tracker.PendingUntil(now, testDigest("a")); !until.Equal(start.Add(crashInterval + confirmationTimeout)) {
 		t.Errorf("the next run waits until %v", until.Sub(start))
 	}
 	later := start.Add(crashInterval + confirmationTimeout)
-	if until := book.PendingUntil(later, testDigest("a")); !until.IsZero() {
+	if until := tracker.PendingUntil(later, testDigest("a")); !until.IsZero() {
 		t.Errorf("the next run waits until %v after the first crash expired unconfirmed", until.Sub(start))
 	}
-	if far := now.Add(confirmationTimeout); book.Suspects(far, testDigest("a")) {
+	if far := now.Add(confirmationTimeout); tracker.IsSuspected(far, testDigest("a")) {
 		t.Error("the content is suspected after all crashes expired unconfirmed")
 	}
 	for number := range crashLimit {
 		at := start.Add(time.Duration(number+1) * crashInterval)
-		book.Crashed(now, at, fmt.Sprint("server", number), victims(at))
+		tracker.RecordCrash(now, at, fmt.Sprint("server", number), victims(at))
 	}
-	if !book.holdsContentNamed(now, "a") {
+	if !tracker.holdsContentNamed(now, "a") {
 		t.Error("confirmed crashes do not hold the content")
 	}
 }
@@ -293,31 +295,31 @@
 // TestSimultaneousUnconfirmedCrashesCountOnce guards against a content waiting because many servers that ran it close
 // new connections at the same time.
 func TestSimultaneousUnconfirmedCrashesCountOnce(t *testing.T) {
-	book := NewBook()
+	tracker := NewTracker()
 	for number := range 2 * crashLimit {
-		victims := []Victim{{Content: testDigest("a"), Began: start.Add(-runTime)}}
-		book.UnconfirmedCrash(start, start, fmt.Sprint("server", number), victims)
+		victims := []InterruptedRequest{{Content: testDigest("a"), Began: start.Add(-runTime)}}
+		tracker.RecordUnconfirmedCrash(start, start, fmt.Sprint("server", number), victims)
 	}
-	if until := book.PendingUntil(start, testDigest("a")); !until.IsZero() {
+	if until := tracker.PendingUntil(start, testDigest("a")); !until.IsZero() {
 		t.Errorf("the next run waits for %v", until.Sub(start))
 	}
-	if change := book.Served(start, testDigest("a")); change.News.Empty() || book.Suspects(start, testDigest("a")) {
+	if change := tracker.RecordSuccess(start, testDigest("a")); change.Added.Empty() || tracker.IsSuspected(start, testDigest("a")) {
 		t.Error("a successful run does not clear the content")
 	}
 }
 
 // TestDurableEvidence guards against evidence being stored too early, or not being removed when the content is cleared.
 func TestDurableEvidence(t *testing.T) {
-	book := NewBook()
-	if change := crashInSequence(book, start, durableCrashCount-1, "a"); len(change.Durable) > 0 {
+	tracker := NewTracker()
+	if change := crashInSequence(tracker, start, durableCrashCount-1, "a"); len(change.Durable) > 0 {
 		t.Errorf("durable: %v", change.Durable)
 	}
-	change := crashInSequence(book, start.Add(time.Minute), durableCrashCount, "a")
-	if len(change.Durable) != 1 || len(book.Durable()) != 1 {
-		t.Errorf("durable: %v, in all %v", change.Durable, book.Durable())
+	change := crashInSequence(tracker, start.Add(time.Minute), durableCrashCount, "a")
+	if len(change.Durable) != 1 || len(tracker.Durable()) != 1 {
+		t.Errorf("durable: %v, in all %v", change.Durable, tracker.Durable())
 	}
-	change = book.Served(start.Add(2*time.Minute), testDigest("a"))
-	if len(change.NoLongerDurable) != 1 || len(book.Durable()) != 0 {
-		t.Errorf("no longer durable: %v, left %v", change.NoLongerDurable, book.Durable())
+	change = tracker.RecordSuccess(start.Add(2*time.Minute), testDigest("a"))
+	if len(change.NoLongerDurable) != 1 || len(tracker.Durable()) != 0 {
+		t.Errorf("no longer durable: %v, left %v", change.NoLongerDurable, tracker.Durable())
 	}
 }
--- a/quarantine/update.go
+++ b/quarantine/update.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Update carries evidence from one book to another.
+// Update carries evidence from one tracker to another.
 type Update struct {
 	Items []Item `msgpack:"i"`
 }
@@ -14,8 +14,8 @@
 // Empty reports whether the update has no items.
 func (u *Update) Empty() bool { return len(u.Items) == 0 }
 
-// Wait adds to all ages the time for which the update has waited.
-func (u *Update) Wait(span time.Duration) {
+// AddAge adds to all ages the time for which the update has waited.
+func (u *Update) AddAge(span time.Duration) {
 	for i := range u.Items {
 		for j := range u.Items[i].Crashes {
 			u.Items[i].Crashes[j].Age += span
@@ -26,9 +26,9 @@
 
 // Item is the evidence against one content or part.
 type Item struct {
-	Digest  Digest `msgpack:"c"`
-	Kind    Kind   `msgpack:"k,omitempty"`
-	Crashes []Told `msgpack:"s"`
+	Digest  Digest        `msgpack:"c"`
+	Kind    Kind          `msgpack:"k,omitempty"`
+	Crashes []CrashReport `msgpack:"s"`
 	// Cleared is set if a run was successful. The last such run ended ClearedAge ago; no crash before it counts.
 	Cleared    bool          `msgpack:"e,omitempty"`
 	ClearedAge time.Duration `msgpack:"l,omitempty"`
@@ -44,13 +44,13 @@
 	return now.Add(-max(0, i.ClearedAge))
 }
 
-// Forgotten reports whether all crashes are older than the retention period.
-func (i *Item) Forgotten() bool {
-	return !slices.ContainsFunc(i.Crashes, func(report Told) bool { return report.Age < crashRetention })
+// Expired reports whether all crashes are older than the retention period.
+func (i *Item) Expired() bool {
+	return !slices.ContainsFunc(i.Crashes, func(report CrashReport) bool { return report.Age < crashRetention })
 }
 
-// Told reports one crash under a content.
-type Told struct {
+// CrashReport reports one crash under a content.
+type CrashReport struct {
 	// Server identifies one run of a server process; a restarted server has another ID.
 	Server string `msgpack:"s"`
 	// Age is how long ago the server crashed.
@@ -64,24 +64,24 @@
 }
 
 // crash converts a report into a crash with absolute times.
-func (t *Told) crash(now time.Time) crash {
+func (t *CrashReport) crash(now time.Time) crash {
 	at := now.Add(-max(0, t.Age))
 	return crash{at: at, began: at.Add(-max(0, t.Ran)), void: t.Void, unconfirmed: t.Unconfirmed}
 }
 
 // report converts a crash into a report with ages.
-func (c crash) report(now time.Time, server string) Told {
-	return Told{Server: server, Age: now.Sub(c.at), Ran: c.at.Sub(c.began), Void: c.void, Unconfirmed: c.unconfirmed}
+func (c crash) report(now time.Time, server string) CrashReport {
+	return CrashReport{Server: server, Age: now.Sub(c.at), Ran: c.at.Sub(c.began), Void: c.void, Unconfirmed: c.unconfirmed}
 }
 
 // maxUpdateItems limits an update to some 20 kB.
 const maxUpdateItems = 256
 
-// Newest returns the evidence that a daemon may lack that has just started or has missed a message: all records that hold
+// Snapshot returns the evidence that a daemon may lack that has just started or has missed a message: all records that hold
 // requests, and those that changed within the span.
-func (b *Book) Newest(now time.Time, span time.Duration) Update {
+func (t *Tracker) Snapshot(now time.Time, span time.Duration) Update {
 	var held, fresh []Item
-	for content, rec := range b.records {
+	for content, rec := range t.records {
 		switch {
 		case rec.holds():
 			held = append(held, rec.item(now, content))
@@ -94,8 +94,8 @@
 }
 
 // Evidence returns the whole evidence against one content.
-func (b *Book) Evidence(now time.Time, content Digest) Item {
-	rec := b.records[content]
+func (t *Tracker) Evidence(now time.Time, content Digest) Item {
+	rec := t.records[content]
 	if rec == nil {
 		return Item{Digest: content}
 	}
@@ -109,14 +109,14 @@
 	for server, seen := range r.crashes {
 		item.Crashes = append(item.Crashes, seen.report(now, server))
 	}
-	slices.SortFunc(item.Crashes, func(a, b Told) int { return strings.Compare(a.Server, b.Server) })
+	slices.SortFunc(item.Crashes, func(a, b CrashReport) int { return strings.Compare(a.Server, b.Server) })
 	return item
 }
 
 // Durable returns the contents whose evidence must be kept in the store.
-func (b *Book) Durable() []Digest {
+func (t *Tracker) Durable() []Digest {
 	var contents []Digest
-	for content, rec := range b.records {
+	for content, rec := range t.records {
 		if rec.durable {
 			contents = append(contents, content)
 		}
@@ -125,9 +125,9 @@
 }
 
 // Held returns the contents or parts that are held, by themselves or together with others.
-func (b *Book) Held(now time.Time, kind Kind) []Digest {
+func (t *Tracker) Held(now time.Time, kind Kind) []Digest {
 	var held []Digest
-	for content, rec := range b.records {
+	for content, rec := range t.records {
 		if rec.kind == kind && rec.holds() && !rec.holdsUntil(now).IsZero() {
 			held = append(held, content)
 		}
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -39,8 +39,8 @@
 	// RoleStandIn grants StandInPart of that for an owner that does not answer some daemon.
 	// Both may be granting at the same time.
 	RoleStandIn
-	// RoleAlone grants what one daemon may use without the others.
-	RoleAlone
+	// RoleLocal grants what one daemon may use without the others.
+	RoleLocal
 )
 
 const (
@@ -49,9 +49,9 @@
 	// the excess of a tenth and the slack that platforms allow, as most subjects use half of
 	// their limits.
 	StandInPart = 0.4
-	// AlonePart is the part of its even share that a daemon grants without the others. A fleet
+	// LocalPart is the part of its even share that a daemon grants without the others. A fleet
 	// that is fully partitioned so grants less than one limit in total.
-	AlonePart = 0.8
+	LocalPart = 0.8
 )
 
 // bucket is a token bucket. Its level may become negative by one request: if it had to cover a
--- a/quota/buckets.go
+++ b/quota/buckets.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Answer is the response of a Keeper to a request for use.
+// Answer is the response of a Buckets to a request for use.
 type Answer struct {
 	Granted bool
 	// Wait is the time until tokens are available, or if granted, until the grant may be used.
 	Wait time.Duration
-	// Owner is the daemon to query instead; empty if the answer is final.
-	Owner string
+	// RedirectTo is the daemon to query instead; empty if the answer is final.
+	RedirectTo string
 }
 
-// AllowanceSpan is how long a grant of Take may be used, or returned. A limit applies to the moments at which instances
+// GrantTTL is how long a grant of Take may be used, or returned. A limit applies to the moments at which instances
 // begin to work, so grants from long before must not arrive together: with half a second, at most half a second of a
 // subject's rate is added to its limit.
-const AllowanceSpan = 500 * time.Millisecond
+const GrantTTL = 500 * time.Millisecond
 
-// TurnSpan is how far ahead turns should be granted. A turn is a grant for a later moment. Turns that an owner has
+// MaxTurnWait is how far ahead turns should be granted. A turn is a grant for a later moment. Turns that an owner has
 // granted before it is lost are added to what the next owner grants.
-const TurnSpan = 500 * time.Millisecond
+const MaxTurnWait = 500 * time.Millisecond
 
 // rivalClaim records that another daemon claims to own a subject's limit.
 type rivalClaim struct {
@@ -40,8 +40,8 @@
 	standInIdleTTL = time.Second
 )
 
-// Keeper holds the buckets from which this daemon grants limits. It is safe for concurrent use.
-type Keeper struct {
+// Buckets holds the buckets from which this daemon grants limits. It is safe for concurrent use.
+type Buckets struct {
 	mutex   sync.Mutex
 	buckets map[string]*bucket
 	// localBuckets are for the time in which no owner or stand-in can be reached.
@@ -61,41 +61,41 @@
 	initialLevel func(name string) float64
 }
 
-// NewKeeper returns a Keeper without buckets.
-func NewKeeper() *Keeper { return NewKeeperInDebt(0) }
+// NewBuckets returns a Buckets without buckets.
+func NewBuckets() *Buckets { return NewBucketsInDebt(0) }
 
-// NewKeeperInDebt returns a Keeper for small limits. A daemon that begins to grant a limit assumes that the previous
+// NewBucketsInDebt returns a Buckets for small limits. A daemon that begins to grant a limit assumes that the previous
 // owner granted this many units a moment ago. In a fleet that becomes partitioned many daemons begin one after the
 // other.
-func NewKeeperInDebt(debt float64) *Keeper {
-	return NewKeeperFrom(func(string) float64 { return -debt })
+func NewBucketsInDebt(debt float64) *Buckets {
+	return NewBucketsWithLevel(func(string) float64 { return -debt })
 }
 
-// NewKeeperFrom returns a Keeper that calls a function for the level at which it begins to grant a limit. The function
-// must not call the Keeper.
-func NewKeeperFrom(initialLevel func(name string) float64) *Keeper {
-	return &Keeper{
+// NewBucketsWithLevel returns a Buckets that calls a function for the level at which it begins to grant a limit. The function
+// must not call the Buckets.
+func NewBucketsWithLevel(initialLevel func(name string) float64) *Buckets {
+	return &Buckets{
 		buckets: map[string]*bucket{}, localBuckets: map[string]*bucket{}, rivalClaims: map[string]rivalClaim{},
 		initialLevel: initialLevel,
 	}
 }
 
-// Own records the subjects whose limits this daemon grants as their owner, and returns those that
+// SetOwned records the subjects whose limits this daemon grants as their owner, and returns those that
 // it has to claim. These are the subjects that it did not own before, and all of them if more
 // daemons are reachable than before: one of those may own them too, as after a network partition
 // heals. The buckets of new subjects are empty, as what the previous owner granted a moment ago
 // counts in the same window.
-func (k *Keeper) Own(now time.Time, fleet *Fleet, names []string) (claims []string) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.detectStall(now)
-	grown := fleet.Heard > k.aliveCount
-	k.aliveCount = fleet.Heard
+func (b *Buckets) SetOwned(now time.Time, fleet *Fleet, names []string) (claims []string) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.detectStall(now)
+	grown := fleet.Reachable > b.aliveCount
+	b.aliveCount = fleet.Reachable
 	for _, name := range names {
-		if existing := k.buckets[name]; existing == nil || existing.role != RoleOwner || grown {
+		if existing := b.buckets[name]; existing == nil || existing.role != RoleOwner || grown {
 			claims = append(claims, name)
 		}
-		k.bucket(now, name, RoleOwner)
+		b.bucket(now, name, RoleOwner)
 	}
 	return claims
 }
@@ -103,15 +103,15 @@
 // Tick records that this process runs, and must be called a few times in each stallThreshold. It
 // returns the subjects that have to be claimed again because the process was stalled: other
 // daemons may have granted their limits in the meantime.
-func (k *Keeper) Tick(now time.Time) (claims []string) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.detectStall(now)
-	if !k.stalled {
+func (b *Buckets) Tick(now time.Time) (claims []string) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.detectStall(now)
+	if !b.stalled {
 		return nil
 	}
-	k.stalled = false
-	for name, existing := range k.buckets {
+	b.stalled = false
+	for name, existing := range b.buckets {
 		if existing.role == RoleOwner {
 			claims = append(claims, name)
 		}
@@ -121,101 +121,101 @@
 
 // detectStall empties all buckets except the local ones after a stall, at the first call that
 // observes it: other daemons may have granted the tokens that accumulated in the meantime.
-func (k *Keeper) detectStall(now time.Time) {
-	if !k.lastActiveAt.IsZero() && now.Sub(k.lastActiveAt) > stallThreshold {
-		k.stalled, k.resumedAt = true, now
-		for name, existing := range k.buckets {
-			existing.capLevel(now, k.initialLevel(name))
+func (b *Buckets) detectStall(now time.Time) {
+	if !b.lastActiveAt.IsZero() && now.Sub(b.lastActiveAt) > stallThreshold {
+		b.stalled, b.resumedAt = true, now
+		for name, existing := range b.buckets {
+			existing.capLevel(now, b.initialLevel(name))
 		}
 	}
-	k.lastActiveAt = now
+	b.lastActiveAt = now
 }
 
-// Yield records that another daemon, which precedes this one, claims a subject's limit.
-func (k *Keeper) Yield(now time.Time, name, claimant string) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.rivalClaims[name] = rivalClaim{claimant: claimant, expiresAt: now.Add(claimTTL)}
+// RecordClaim records that another daemon, which precedes this one, claims a subject's limit.
+func (b *Buckets) RecordClaim(now time.Time, name, claimant string) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.rivalClaims[name] = rivalClaim{claimant: claimant, expiresAt: now.Add(claimTTL)}
 }
 
 // activeClaimant returns the daemon that grants a subject's limit instead of this one, or an empty
 // string. A claim ends once the local snapshot of the fleet names its claimant as the owner.
-func (k *Keeper) activeClaimant(now time.Time, fleet *Fleet, name string) string {
-	claim, found := k.rivalClaims[name]
+func (b *Buckets) activeClaimant(now time.Time, fleet *Fleet, name string) string {
+	claim, found := b.rivalClaims[name]
 	if !found {
 		return ""
 	}
 	if now.After(claim.expiresAt) || fleet.owner(name) == claim.claimant {
-		delete(k.rivalClaims, name)
+		delete(b.rivalClaims, name)
 		return ""
 	}
 	return claim.claimant
 }
 
-// Forget drops the buckets and claims of removed subjects.
-func (k *Keeper) Forget(present func(name string) bool) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	for _, buckets := range []map[string]*bucket{k.buckets, k.localBuckets} {
+// Prune drops the buckets and claims of removed subjects.
+func (b *Buckets) Prune(present func(name string) bool) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	for _, buckets := range []map[string]*bucket{b.buckets, b.localBuckets} {
 		for name := range buckets {
 			if !present(name) {
 				delete(buckets, name)
 			}
 		}
 	}
-	for name := range k.rivalClaims {
+	for name := range b.rivalClaims {
 		if !present(name) {
-			delete(k.rivalClaims, name)
+			delete(b.rivalClaims, name)
 		}
 	}
 }
 
 // bucket returns the bucket of a subject for a role. A new bucket begins at the initial level. An existing one is lowered
 // to at most that level if the role changes, or if a stand-in has not used it for standInIdleTTL.
-func (k *Keeper) bucket(now time.Time, name string, role Role) *bucket {
-	existing := k.buckets[name]
+func (b *Buckets) bucket(now time.Time, name string, role Role) *bucket {
+	existing := b.buckets[name]
 	if existing == nil {
-		existing = &bucket{at: now, role: role, level: k.initialLevel(name)}
-		k.buckets[name] = existing
+		existing = &bucket{at: now, role: role, level: b.initialLevel(name)}
+		b.buckets[name] = existing
 	}
 	if existing.role != role || role == RoleStandIn && now.Sub(existing.at) > standInIdleTTL {
 		existing.role = role
-		existing.capLevel(now, k.initialLevel(name))
+		existing.capLevel(now, b.initialLevel(name))
 	}
 	return existing
 }
 
 // Take takes the cost of one request of a subject, as its owner or a stand-in by the local snapshot
 // of the fleet. Within is how long the request may wait for its turn.
-func (k *Keeper) Take(now time.Time, fleet *Fleet, name string, limit *Limit, cost float64, within time.Duration) Answer {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.detectStall(now)
-	if owner := k.activeClaimant(now, fleet, name); owner != "" {
-		return Answer{Owner: owner}
+func (b *Buckets) Take(now time.Time, fleet *Fleet, name string, limit *Limit, cost float64, within time.Duration) Answer {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.detectStall(now)
+	if owner := b.activeClaimant(now, fleet, name); owner != "" {
+		return Answer{RedirectTo: owner}
 	}
 	role := fleet.RoleOf(name)
-	granted, wait := k.bucket(now, name, role).take(now, limit, fleet.partOf(role), cost, within)
+	granted, wait := b.bucket(now, name, role).take(now, limit, fleet.partOf(role), cost, within)
 	return Answer{Granted: granted, Wait: wait}
 }
 
-// Return refunds what Take granted a moment ago and was not used.
-func (k *Keeper) Return(now time.Time, fleet *Fleet, name string, limit *Limit, cost float64) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.detectStall(now)
+// Refund refunds what Take granted a moment ago and was not used.
+func (b *Buckets) Refund(now time.Time, fleet *Fleet, name string, limit *Limit, cost float64) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.detectStall(now)
 	role := fleet.RoleOf(name)
-	k.bucket(now, name, role).refund(now, limit, fleet.partOf(role), cost)
+	b.bucket(now, name, role).refund(now, limit, fleet.partOf(role), cost)
 }
 
-// TakeAlone takes the cost of one request from what this daemon may use without the others.
-func (k *Keeper) TakeAlone(now time.Time, fleet *Fleet, name string, limit *Limit, cost float64) bool {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	existing := k.localBuckets[name]
+// TakeLocal takes the cost of one request from what this daemon may use without the others.
+func (b *Buckets) TakeLocal(now time.Time, fleet *Fleet, name string, limit *Limit, cost float64) bool {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	existing := b.localBuckets[name]
 	if existing == nil {
-		existing = &bucket{at: now, role: RoleAlone}
-		k.localBuckets[name] = existing
+		existing = &bucket{at: now, role: RoleLocal}
+		b.localBuckets[name] = existing
 	}
-	return existing.takeIfCovered(now, limit, AlonePart/float64(max(1, fleet.Daemons)), cost)
+	return existing.takeIfCovered(now, limit, LocalPart/float64(max(1, fleet.Daemons)), cost)
 }
--- a/quota/fleet.go
+++ b/quota/fleet.go
@@ -49,7 +49,7 @@
 	if d.forming(now) {
 		fleet.Forming = true
 		fleet.Daemons = max(fleet.Daemons, assumedDaemons)
-		fleet.Part = float64(fleet.Heard) / float64(fleet.Daemons)
+		fleet.Part = float64(fleet.Reachable) / float64(fleet.Daemons)
 	}
 	return fleet
 }
@@ -67,10 +67,10 @@
 	Part float64
 	// Daemons is the number of daemons, including unreachable ones.
 	Daemons int
-	// Heard is the number of daemons that this one receives messages from, itself included.
-	Heard int
-	// Lonely says that this daemon has not reached another one although others exist.
-	Lonely bool
+	// Reachable is the number of daemons that this one receives messages from, itself included.
+	Reachable int
+	// Isolated says that this daemon has not reached another one although others exist.
+	Isolated bool
 	// Forming says that this daemon started recently and is still discovering others; see Discovery.
 	Forming bool
 
@@ -99,25 +99,25 @@
 		if m.State != member.Alive {
 			continue
 		}
-		fleet.Heard++
+		fleet.Reachable++
 		if !m.Leaving {
 			fleet.candidates = append(fleet.candidates, m)
 		}
 	}
 	if fleet.Daemons <= 1 && seeds > 0 {
-		fleet.Lonely, fleet.Daemons = true, assumedDaemons
+		fleet.Isolated, fleet.Daemons = true, assumedDaemons
 		if age > discoveryWindow {
 			fleet.Daemons = seeds + 1
 		}
 	}
 	fleet.candidates = strongest(fleet.candidates, maxOwners)
-	fleet.Part = float64(fleet.Heard) / float64(max(1, fleet.Daemons))
+	fleet.Part = float64(fleet.Reachable) / float64(max(1, fleet.Daemons))
 	return fleet
 }
 
 // Equal reports whether two snapshots have the same content.
 func (f *Fleet) Equal(other *Fleet) bool {
-	return f.Self == other.Self && f.Part == other.Part && f.Lonely == other.Lonely && f.Forming == other.Forming &&
+	return f.Self == other.Self && f.Part == other.Part && f.Isolated == other.Isolated && f.Forming == other.Forming &&
 		maps.Equal(f.byName, other.byName)
 }
 
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -90,8 +90,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			fleet := NewFleet("d0", c.members, c.seeds, c.age)
-			if fleet.Part != c.part || fleet.Daemons != c.daemons || fleet.Lonely != c.lonely {
-				t.Errorf("part %v of %d daemons, lonely %t, want %v %d %t", fleet.Part, fleet.Daemons, fleet.Lonely, c.part, c.daemons, c.lonely)
+			if fleet.Part != c.part || fleet.Daemons != c.daemons || fleet.Isolated != c.lonely {
+				t.Errorf("part %v of %d daemons, lonely %t, want %v %d %t", fleet.Part, fleet.Daemons, fleet.Isolated, c.part, c.daemons, c.lonely)
 			}
 		})
 	}
@@ -103,8 +103,8 @@
 	now := time.Unix(1000, 0)
 	fleet := NewFleet("d0", []member.Member{{Name: "d0"}}, 0, 0)
 	limit := Limit{PerSecond: 10, Burst: 10}
-	buckets := NewKeeper()
-	buckets.Own(now, fleet, []string{tenantName})
+	buckets := NewBuckets()
+	buckets.SetOwned(now, fleet, []string{tenantName})
 	now = now.Add(3 * time.Second)
 	granted := 0
 	for buckets.Take(now, fleet, tenantName, &limit, 1, 0).Granted {
--- a/quota/instance_test.go
+++ b/quota/instance_test.go
@@ -68,7 +68,7 @@
 
 func checkInstanceLimit(t *testing.T, seed uint64, daemons int, perSecond float64, injected fault) {
 	t.Helper()
-	for _, within := range []time.Duration{0, TurnSpan} {
+	for _, within := range []time.Duration{0, MaxTurnWait} {
 		s := simulateInstance(seed, daemons, perSecond, requested, injected, ownerStrategy{within: within, strict: true})
 		if over := s.excess(); over > 0 {
 			t.Errorf("seed %d, waiting up to %v: a window exceeds the limit by %.0f requests", seed, within, over)
@@ -82,7 +82,7 @@
 	now := time.Unix(1000, 0)
 	fleet := NewFleet("d0", []member.Member{{Name: "d0"}}, 0, time.Minute)
 	limit := Limit{PerSecond: 2}
-	buckets := NewKeeper()
+	buckets := NewBuckets()
 	var waits []time.Duration
 	for range 10 {
 		if answer := buckets.Take(now, fleet, tenantName, &limit, 1, time.Second); answer.Granted {
@@ -105,7 +105,7 @@
 		name string
 		make func() strategy
 	}{
-		{"owner, strict, turns within 0.5 s", func() strategy { return ownerStrategy{strict: true, within: TurnSpan} }},
+		{"owner, strict, turns within 0.5 s", func() strategy { return ownerStrategy{strict: true, within: MaxTurnWait} }},
 		{"owner, strict, turns within 2 s", func() strategy { return ownerStrategy{strict: true, within: 2 * time.Second} }},
 		{"owner, strict", func() strategy { return ownerStrategy{strict: true} }}, {"owner", func() strategy { return ownerStrategy{} }},
 		{"leases", func() strategy { return newLeaseStrategy() }}, {"even parts", func() strategy { return evenSplit{} }}, {"the whole limit each", func() strategy { return fullLimitEach{} }},
--- a/quota/ownership.go
+++ b/quota/ownership.go
@@ -13,22 +13,22 @@
 }
 
 // FleetReplaced records that a snapshot of the fleet was replaced by a newer one.
-func (k *Keeper) FleetReplaced(now time.Time, replaced *Fleet) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	retained := k.previous[:0]
-	for _, previous := range k.previous {
+func (b *Buckets) FleetReplaced(now time.Time, replaced *Fleet) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	retained := b.previous[:0]
+	for _, previous := range b.previous {
 		if now.Sub(previous.replacedAt) < ownershipDelay {
 			retained = append(retained, previous)
 		}
 	}
-	k.previous = append(retained, previousFleet{replaced, now})
+	b.previous = append(retained, previousFleet{replaced, now})
 }
 
 // TakeAsOwner takes the cost of one request of a limit that only its owner may grant. Unlike with Take, a stand-in
 // redirects to the owner that it can reach, and a daemon denies requests until it has owned the limit for
 // ownershipDelay.
-func (k *Keeper) TakeAsOwner(
+func (b *Buckets) TakeAsOwner(
 	now time.Time, fleet *Fleet, name string, limit *Limit, cost float64, within time.Duration,
 ) Answer {
 	switch owner := fleet.owner(name); owner {
@@ -36,26 +36,26 @@
 	case "":
 		return Answer{Wait: ownershipDelay}
 	default:
-		return Answer{Owner: owner}
+		return Answer{RedirectTo: owner}
 	}
-	if wait := k.ownershipWait(now, fleet, name); wait > 0 {
+	if wait := b.ownershipWait(now, fleet, name); wait > 0 {
 		return Answer{Wait: wait}
 	}
-	return k.Take(now, fleet, name, limit, cost, within)
+	return b.Take(now, fleet, name, limit, cost, within)
 }
 
 // ownershipWait returns how long this daemon has to wait until it has owned a limit for ownershipDelay. The delay
 // starts again after a stall, and does not start while the daemon reaches no other one or its fleet forms.
-func (k *Keeper) ownershipWait(now time.Time, fleet *Fleet, name string) time.Duration {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.detectStall(now)
-	if fleet.Forming || fleet.Lonely {
+func (b *Buckets) ownershipWait(now time.Time, fleet *Fleet, name string) time.Duration {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.detectStall(now)
+	if fleet.Forming || fleet.Isolated {
 		return ownershipDelay
 	}
-	since := k.resumedAt
-	for _, previous := range k.previous {
-		owned := !previous.fleet.Lonely && previous.fleet.owner(name) == fleet.Self
+	since := b.resumedAt
+	for _, previous := range b.previous {
+		owned := !previous.fleet.Isolated && previous.fleet.owner(name) == fleet.Self
 		if !owned && previous.replacedAt.After(since) {
 			since = previous.replacedAt
 		}
--- a/quota/ownership_test.go
+++ b/quota/ownership_test.go
@@ -10,7 +10,7 @@
 	"github.com/wheatweir/wheatweir/member"
 )
 
-// ownerOnlyStrategy grants a limit with Keeper.TakeAsOwner, as a limiter with Ports.OwnerOnly does.
+// ownerOnlyStrategy grants a limit with Buckets.TakeAsOwner, as a limiter with Ports.OwnerOnly does.
 type ownerOnlyStrategy struct {
 	// lastFleets are the last snapshots by daemon.
 	lastFleets map[*node]*Fleet
@@ -18,7 +18,7 @@
 
 func newOwnerOnlyStrategy() strategy { return &ownerOnlyStrategy{lastFleets: map[*node]*Fleet{}} }
 
-func (*ownerOnlyStrategy) buckets() *Keeper { return NewKeeper() }
+func (*ownerOnlyStrategy) buckets() *Buckets { return NewBuckets() }
 
 func (*ownerOnlyStrategy) tick(s *simulation) {
 	if s.now.Sub(s.lastTick) < tickInterval {
@@ -48,18 +48,18 @@
 	delay := time.Duration(0)
 	for _, name := range at.fleet.Owners(tenantName) {
 		answer, answered := o.query(s, at, name, cost, &delay)
-		if answered && answer.Owner != "" {
-			answer, answered = o.query(s, at, answer.Owner, cost, &delay)
+		if answered && answer.RedirectTo != "" {
+			answer, answered = o.query(s, at, answer.RedirectTo, cost, &delay)
 		}
-		if answered && answer.Owner == "" {
+		if answered && answer.RedirectTo == "" {
 			return answer.Granted, delay
 		}
 	}
-	return at.fleet.Lonely && at.buckets.TakeAlone(s.now, at.fleet, tenantName, &s.limit, cost), delay
+	return at.fleet.Isolated && at.buckets.TakeLocal(s.now, at.fleet, tenantName, &s.limit, cost), delay
 }
 
 func (o *ownerOnlyStrategy) query(s *simulation, at *node, name string, cost float64, delay *time.Duration) (Answer, bool) {
-	if at.fleet.Lonely || s.now.Before(at.backoffUntil[name]) {
+	if at.fleet.Isolated || s.now.Before(at.backoffUntil[name]) {
 		return Answer{}, false
 	}
 	queried := s.find(name)
@@ -134,21 +134,21 @@
 	standIn := NewFleet("d0", members, 2, time.Minute).Owners(tenantName)[1]
 	fleetOf := func(self string) *Fleet { return NewFleet(self, members, 2, time.Minute) }
 	remaining := slices.DeleteFunc(slices.Clone(members), func(m member.Member) bool { return m.Name == owner })
-	take := func(k *Keeper, at time.Time, fleet *Fleet) Answer {
+	take := func(k *Buckets, at time.Time, fleet *Fleet) Answer {
 		return k.TakeAsOwner(at, fleet, tenantName, &limit, 1, 0)
 	}
 	t.Run("the owner", func(t *testing.T) {
-		if got := take(NewKeeper(), now, fleetOf(owner)); !got.Granted {
+		if got := take(NewBuckets(), now, fleetOf(owner)); !got.Granted {
 			t.Errorf("got %+v, want a grant", got)
 		}
 	})
 	t.Run("a stand-in that reaches the owner", func(t *testing.T) {
-		if got := take(NewKeeper(), now, fleetOf(standIn)); got.Granted || got.Owner != owner {
+		if got := take(NewBuckets(), now, fleetOf(standIn)); got.Granted || got.RedirectTo != owner {
 			t.Errorf("got %+v, want owner %s", got, owner)
 		}
 	})
 	t.Run("a stand-in that becomes the owner", func(t *testing.T) {
-		k := NewKeeper()
+		k := NewBuckets()
 		k.FleetReplaced(now, fleetOf(standIn))
 		fleet := NewFleet(standIn, remaining, 2, time.Minute)
 		if got := take(k, now.Add(ownershipDelay/2), fleet); got.Granted || got.Wait != ownershipDelay/2 {
@@ -161,12 +161,12 @@
 	t.Run("a fleet that forms", func(t *testing.T) {
 		forming := fleetOf(owner)
 		forming.Forming = true
-		if got := take(NewKeeper(), now, forming); got.Granted {
+		if got := take(NewBuckets(), now, forming); got.Granted {
 			t.Errorf("got %+v, want a denial", got)
 		}
 	})
 	t.Run("an owner after a stall", func(t *testing.T) {
-		k := NewKeeper()
+		k := NewBuckets()
 		k.Tick(now)
 		if got := take(k, now.Add(time.Minute), fleetOf(owner)); got.Granted || got.Wait != ownershipDelay {
 			t.Errorf("got %+v, want a denial with a wait of %v", got, ownershipDelay)
@@ -180,7 +180,7 @@
 	debt float64
 }
 
-func (o ownerStrategyWithoutClaims) buckets() *Keeper { return NewKeeperInDebt(o.debt) }
+func (o ownerStrategyWithoutClaims) buckets() *Buckets { return NewBucketsInDebt(o.debt) }
 
 func (ownerStrategyWithoutClaims) changed(*simulation, *node) {}
 
--- a/quota/simulation_test.go
+++ b/quota/simulation_test.go
@@ -36,7 +36,7 @@
 	// fleet is its snapshot of the daemons; states are the states of the others, by name.
 	states       map[string]member.State
 	fleet        *Fleet
-	buckets      *Keeper
+	buckets      *Buckets
 	backoffUntil map[string]time.Time
 	// undiscovered are the daemons that it has not discovered since its start.
 	undiscovered map[string]bool
@@ -90,7 +90,7 @@
 	// take requests a grant for one request at a daemon. It returns how long that takes.
 	take(s *simulation, at *node, cost float64) (granted bool, delay time.Duration)
 	// buckets returns the initial buckets of one daemon.
-	buckets() *Keeper
+	buckets() *Buckets
 	// tick runs the periodic work.
 	tick(s *simulation)
 	// changed is called after a daemon's snapshot of the fleet was replaced.
--- a/quota/strategies_test.go
+++ b/quota/strategies_test.go
@@ -12,11 +12,11 @@
 	strict bool
 }
 
-func (o ownerStrategy) buckets() *Keeper {
+func (o ownerStrategy) buckets() *Buckets {
 	if o.strict {
-		return NewKeeperInDebt(1)
+		return NewBucketsInDebt(1)
 	}
-	return NewKeeper()
+	return NewBuckets()
 }
 
 func (o ownerStrategy) tick(s *simulation) {
@@ -37,7 +37,7 @@
 	if at.fleet.RoleOf(tenantName) == RoleOwner {
 		owned = append(owned, tenantName)
 	}
-	o.claim(s, at, at.buckets.Own(s.now, at.fleet, owned))
+	o.claim(s, at, at.buckets.SetOwned(s.now, at.fleet, owned))
 }
 
 // claim sends claims to the rivals. Each yields, or answers with a claim of its own if it precedes the sender.
@@ -49,10 +49,10 @@
 			switch {
 			case !s.reaches(at, other):
 			case other.fleet.Precedes(at.name, name):
-				other.buckets.Yield(s.now, name, at.name)
+				other.buckets.RecordClaim(s.now, name, at.name)
 			case other.fleet.RoleOf(name) == RoleOwner:
 				s.messages++
-				at.buckets.Yield(s.now, name, other.name)
+				at.buckets.RecordClaim(s.now, name, other.name)
 			}
 		}
 	}
@@ -62,20 +62,20 @@
 	delay := time.Duration(0)
 	for _, name := range at.fleet.Owners(tenantName) {
 		answer, answered := o.query(s, at, name, cost, &delay)
-		if answered && answer.Owner != "" {
-			answer, answered = o.query(s, at, answer.Owner, cost, &delay)
+		if answered && answer.RedirectTo != "" {
+			answer, answered = o.query(s, at, answer.RedirectTo, cost, &delay)
 		}
-		if answered && answer.Owner == "" {
+		if answered && answer.RedirectTo == "" {
 			if answer.Granted {
 				delay += answer.Wait
 			}
 			return answer.Granted, delay
 		}
 	}
-	if o.strict && !at.fleet.Lonely {
+	if o.strict && !at.fleet.Isolated {
 		return false, delay
 	}
-	return at.buckets.TakeAlone(s.now, at.fleet, tenantName, &s.limit, cost), delay
+	return at.buckets.TakeLocal(s.now, at.fleet, tenantName, &s.limit, cost), delay
 }
 
 func (o ownerStrategy) query(s *simulation, at *node, name string, cost float64, delay *time.Duration) (Answer, bool) {
@@ -98,19 +98,19 @@
 // evenSplit is the baseline: each daemon grants an even part of the limit without messages.
 type evenSplit struct{}
 
-func (evenSplit) buckets() *Keeper           { return NewKeeper() }
+func (evenSplit) buckets() *Buckets          { return NewBuckets() }
 func (evenSplit) tick(*simulation)           {}
 func (evenSplit) changed(*simulation, *node) {}
 
 func (evenSplit) take(s *simulation, at *node, cost float64) (bool, time.Duration) {
 	alone := &Fleet{Daemons: len(s.nodes)}
-	return at.buckets.TakeAlone(s.now, alone, tenantName, &s.limit, cost*AlonePart), 0
+	return at.buckets.TakeLocal(s.now, alone, tenantName, &s.limit, cost*LocalPart), 0
 }
 
 // fullLimitEach has each daemon grant the whole limit without the others.
 type fullLimitEach struct{}
 
-func (fullLimitEach) buckets() *Keeper           { return NewKeeper() }
+func (fullLimitEach) buckets() *Buckets          { return NewBuckets() }
 func (fullLimitEach) tick(*simulation)           {}
 func (fullLimitEach) changed(*simulation, *node) {}
 
@@ -149,7 +149,7 @@
 	return &leaseStrategy{term: time.Second, interval: 200 * time.Millisecond, lessees: map[string]*lessee{}, lessors: map[string]*lessor{}}
 }
 
-func (l *leaseStrategy) buckets() *Keeper { return NewKeeper() }
+func (l *leaseStrategy) buckets() *Buckets { return NewBuckets() }
 
 func (l *leaseStrategy) lesseeFor(name string) *lessee {
 	current := l.lessees[name]
@@ -177,7 +177,7 @@
 	if s.now.Before(current.expiresAt) {
 		part = current.part
 	}
-	granted, _ := current.spent.take(s.now, &s.limit, max(part, AlonePart/float64(2*len(s.nodes))), cost, 0)
+	granted, _ := current.spent.take(s.now, &s.limit, max(part, LocalPart/float64(2*len(s.nodes))), cost, 0)
 	return granted, 0
 }
 
--- a/reach/dialer.go
+++ b/reach/dialer.go
@@ -23,9 +23,9 @@
 // Dial opens a connection to an address. The attempt ends when ctx does.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// Dialer connects to addresses, each time by the plan of its Book. It is safe for concurrent use.
+// Dialer connects to addresses, each time by the plan of its Tracker. It is safe for concurrent use.
 type Dialer struct {
-	tracker *Book
+	tracker *Tracker
 	now     func() time.Time
 	// direct uses the machine's own paths, relayed goes through another daemon.
 	direct  Dial
@@ -36,7 +36,7 @@
 }
 
 // NewDialer returns a Dialer that connects by the plans of tracker.
-func NewDialer(tracker *Book, now func() time.Time, direct, relayed Dial) *Dialer {
+func NewDialer(tracker *Tracker, now func() time.Time, direct, relayed Dial) *Dialer {
 	return &Dialer{tracker: tracker, now: now, direct: direct, relayed: relayed}
 }
 
@@ -99,7 +99,7 @@
 	return done.conn
 }
 
-// Direct opens a connection over the machine's own path only, and records the result in the Book.
+// Direct opens a connection over the machine's own path only, and records the result in the Tracker.
 func (d *Dialer) Direct(ctx context.Context, address string) (net.Conn, error) {
 	began := d.now()
 	conn, err := d.direct(ctx, address)
@@ -195,13 +195,13 @@
 	count, err := c.Conn.Read(buffer)
 	if count > 0 {
 		c.receivedAt = c.dialer.now()
-		c.dialer.tracker.Heard(c.receivedAt)
+		c.dialer.tracker.ObserveBytes(c.receivedAt)
 	}
 	return count, err
 }
 
-// Fit reports whether the connection should be reused.
-func (c *directConn) Fit() bool { return c.dialer.tracker.Fit(c.address, c.receivedAt) }
+// Reusable reports whether the connection should be reused.
+func (c *directConn) Reusable() bool { return c.dialer.tracker.Reusable(c.address, c.receivedAt) }
 
 // SyscallConn returns the raw connection of the socket.
 func (c *directConn) SyscallConn() (syscall.RawConn, error) { return rawConnOf(c.Conn) }
@@ -213,13 +213,13 @@
 	address string
 }
 
-// Fit reports whether the idle connection should be reused. It should not once the machine's own path works again,
+// Reusable reports whether the idle connection should be reused. It should not once the machine's own path works again,
 // or the relaying daemon has announced that it stops, which it may do at any time.
-func (c *relayedConn) Fit() bool {
+func (c *relayedConn) Reusable() bool {
 	if retiring, ok := c.Conn.(interface{ Retiring() bool }); ok && retiring.Retiring() {
 		return false
 	}
-	return c.dialer.tracker.InDoubt(c.address) && idle.IsOpen(c.Conn)
+	return c.dialer.tracker.UsesRelays(c.address) && idle.IsOpen(c.Conn)
 }
 
 // SyscallConn returns the raw connection of the socket.
--- a/reach/dialer_test.go
+++ b/reach/dialer_test.go
@@ -76,7 +76,7 @@
 		c := &cases[i]
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				tracker := reach.NewBook()
+				tracker := reach.NewTracker()
 				tracker.SetAddresses(20)
 				if c.failedEarlier {
 					tracker.Failed(time.Now(), "a", time.Now())
@@ -116,7 +116,7 @@
 // connected.
 func TestCallerThatLeavesProvesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tracker := reach.NewBook()
+		tracker := reach.NewTracker()
 		direct, relayed := fakeDial{duration: 50 * time.Millisecond}, fakeDial{duration: time.Hour}
 		dialer := reach.NewDialer(tracker, time.Now, direct.dial, relayed.dial)
 		for range 5 {
@@ -141,7 +141,7 @@
 // It guards against the address being tried over the own path alone from then on.
 func TestOthersAreUsedAgainAfterTheyHelped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tracker := reach.NewBook()
+		tracker := reach.NewTracker()
 		tracker.SetAddresses(20)
 		direct, relayed := fakeDial{duration: time.Hour}, fakeDial{duration: 10 * time.Millisecond}
 		dialer := reach.NewDialer(tracker, time.Now, direct.dial, relayed.dial)
--- a/reach/relays.go
+++ b/reach/relays.go
@@ -90,8 +90,8 @@
 	return distance
 }
 
-// Helped records that a daemon carries a connection.
-func (r *Relays) Helped(name string) {
+// Succeeded records that a daemon carries a connection.
+func (r *Relays) Succeeded(name string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.backoffs, name)
--- a/reach/tracker.go
+++ b/reach/tracker.go
@@ -1,7 +1,7 @@
 // Package reach distinguishes addresses that no longer exist from network paths of this machine that are cut. It
 // connects to addresses over the machine's own paths or through other daemons.
 //
-// A Book decides which paths to use. Failed attempts at several addresses in a row, with no success in between,
+// A Tracker decides which paths to use. Failed attempts at several addresses in a row, with no success in between,
 // point to this machine rather than to the addresses. A Dialer makes the attempts.
 package reach
 
@@ -45,10 +45,10 @@
 	Doubtful bool
 	// Since is the time of the first of the consecutive failed attempts; zero if the last attempt succeeded.
 	Since time.Time
-	// Failed is the number of addresses that can't be reached directly. InARow counts those that failed since the
+	// Failed is the number of addresses that can't be reached directly. FailedInARow counts those that failed since the
 	// last success.
-	Failed int
-	InARow int
+	Failed       int
+	FailedInARow int
 }
 
 // failure is the state of an address that could not be reached.
@@ -64,8 +64,8 @@
 	localFault        bool
 }
 
-// Book tracks which addresses this machine can reach over its own paths. It is safe for concurrent use.
-type Book struct {
+// Tracker tracks which addresses this machine can reach over its own paths. It is safe for concurrent use.
+type Tracker struct {
 	mutex  sync.Mutex
 	failed map[string]*failure
 	// consecutive are the addresses that failed since the last success, since is the time of the first of these
@@ -80,33 +80,33 @@
 	addresses int
 }
 
-// NewBook returns a Book without failures.
-func NewBook() *Book {
-	return &Book{failed: map[string]*failure{}, consecutive: map[string]bool{}}
+// NewTracker returns a Tracker without failures.
+func NewTracker() *Tracker {
+	return &Tracker{failed: map[string]*failure{}, consecutive: map[string]bool{}}
 }
 
 // SetAddresses sets how many addresses the daemon connects to. It caps the thresholds for doubtful and cut.
-func (b *Book) SetAddresses(count int) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	b.addresses = count
+func (t *Tracker) SetAddresses(count int) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.addresses = count
 }
 
 // Plan returns how to connect to an address now. If other daemons reach an address that can't be reached from
 // here, the own path is tried only once per backoff. If none does, the address has most likely ended, and other
 // daemons are used only once per backoff.
-func (b *Book) Plan(now time.Time, address string) Plan {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	b.expire(now)
-	status, entry := b.status(), b.failed[address]
+func (t *Tracker) Plan(now time.Time, address string) Plan {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.expire(now)
+	status, entry := t.status(), t.failed[address]
 	switch {
 	case entry != nil && (status.Doubtful || !entry.reachedByOthersAt.IsZero()):
 		return Plan{Direct: due(now, &entry.retryAt), Relay: true}
 	case entry != nil:
 		return Plan{Direct: true, Relay: due(now, &entry.relayRetryAt)}
 	case status.Cut:
-		return Plan{Direct: due(now, &b.retryAt), Relay: true}
+		return Plan{Direct: due(now, &t.retryAt), Relay: true}
 	case status.Doubtful:
 		return Plan{Direct: true, Relay: true, RelayAfter: relayAfterDoubtful}
 	default:
@@ -124,69 +124,69 @@
 }
 
 // Connected records a successful attempt.
-func (b *Book) Connected(now time.Time, address string) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if b.status().Cut {
+func (t *Tracker) Connected(now time.Time, address string) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if t.status().Cut {
 		// All paths may work again, so each of them is retried at once.
-		for _, entry := range b.failed {
+		for _, entry := range t.failed {
 			entry.retryAt = now
 		}
 	}
-	delete(b.failed, address)
-	clear(b.consecutive)
-	b.since, b.connectedAt = time.Time{}, now
+	delete(t.failed, address)
+	clear(t.consecutive)
+	t.since, t.connectedAt = time.Time{}, now
 }
 
 // Failed records a failed attempt that started at began.
-func (b *Book) Failed(now time.Time, address string, began time.Time) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	entry := b.failed[address]
+func (t *Tracker) Failed(now time.Time, address string, began time.Time) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	entry := t.failed[address]
 	if entry == nil {
 		entry = &failure{since: now, retryAt: now.Add(retryBackoff), relayRetryAt: now.Add(retryBackoff)}
-		b.failed[address] = entry
+		t.failed[address] = entry
 	}
 	entry.lastAt = now
 	if !entry.reachedByOthersAt.IsZero() && began.After(entry.reachedByOthersAt) {
 		entry.localFault = true
 	}
-	if began.Before(b.connectedAt) {
+	if began.Before(t.connectedAt) {
 		return
 	}
-	if len(b.consecutive) == 0 {
-		b.since = now
+	if len(t.consecutive) == 0 {
+		t.since = now
 	}
-	b.consecutive[address] = true
+	t.consecutive[address] = true
 }
 
 // ReachedByOthers records that another daemon has connected to an address. Attempts from here that fail after that
 // are not the fault of the address.
-func (b *Book) ReachedByOthers(now time.Time, address string) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if entry := b.failed[address]; entry != nil && entry.reachedByOthersAt.IsZero() {
+func (t *Tracker) ReachedByOthers(now time.Time, address string) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if entry := t.failed[address]; entry != nil && entry.reachedByOthersAt.IsZero() {
 		entry.reachedByOthersAt = now
 	}
 }
 
 // NotReachedByOthers records that another daemon could not connect to an address either.
-func (b *Book) NotReachedByOthers(address string) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if entry := b.failed[address]; entry != nil {
+func (t *Tracker) NotReachedByOthers(address string) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if entry := t.failed[address]; entry != nil {
 		entry.reachedByOthersAt, entry.localFault = time.Time{}, false
 	}
 }
 
 // Failures counts those of the addresses that can't be reached, and those of them where the fault lies with this
 // machine. Unproved is an address whose fault is not established, or empty.
-func (b *Book) Failures(now time.Time, addresses []string) (failed, localFault int, unproved string) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	b.expire(now)
+func (t *Tracker) Failures(now time.Time, addresses []string) (failed, localFault int, unproved string) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.expire(now)
 	for _, address := range addresses {
-		entry := b.failed[address]
+		entry := t.failed[address]
 		switch {
 		case entry == nil:
 		case entry.localFault:
@@ -200,57 +200,57 @@
 	return failed, localFault, unproved
 }
 
-// Heard records that bytes were received over an own path.
-func (b *Book) Heard(now time.Time) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	b.receivedAt = now
+// ObserveBytes records that bytes were received over an own path.
+func (t *Tracker) ObserveBytes(now time.Time) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.receivedAt = now
 }
 
-// Fit reports whether an open connection to an address should be reused, given when bytes were last received over
+// Reusable reports whether an open connection to an address should be reused, given when bytes were last received over
 // it. The connection may hang if the path has failed since then.
-func (b *Book) Fit(address string, receivedAt time.Time) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if entry := b.failed[address]; entry != nil && receivedAt.Before(entry.since) {
+func (t *Tracker) Reusable(address string, receivedAt time.Time) bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if entry := t.failed[address]; entry != nil && receivedAt.Before(entry.since) {
 		return false
 	}
-	return !b.status().Doubtful || receivedAt.After(b.since)
+	return !t.status().Doubtful || receivedAt.After(t.since)
 }
 
-// InDoubt reports whether connections to an address go through other daemons.
-func (b *Book) InDoubt(address string) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	entry := b.failed[address]
-	return entry != nil && !entry.reachedByOthersAt.IsZero() || b.status().Doubtful
+// UsesRelays reports whether connections to an address go through other daemons.
+func (t *Tracker) UsesRelays(address string) bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	entry := t.failed[address]
+	return entry != nil && !entry.reachedByOthersAt.IsZero() || t.status().Doubtful
 }
 
 // Status returns the state of all paths together.
-func (b *Book) Status(now time.Time) Status {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	b.expire(now)
-	return b.status()
+func (t *Tracker) Status(now time.Time) Status {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.expire(now)
+	return t.status()
 }
 
-func (b *Book) status() Status {
-	status := Status{Since: b.since, Failed: len(b.failed), InARow: len(b.consecutive)}
-	status.Doubtful = status.InARow >= min(minFailedDoubtful, max(1, b.addresses))
-	enough := status.InARow >= min(minFailedCut, max(1, b.addresses))
-	status.Cut = enough && b.receivedAt.Before(b.since.Add(inFlightWindow))
+func (t *Tracker) status() Status {
+	status := Status{Since: t.since, Failed: len(t.failed), FailedInARow: len(t.consecutive)}
+	status.Doubtful = status.FailedInARow >= min(minFailedDoubtful, max(1, t.addresses))
+	enough := status.FailedInARow >= min(minFailedCut, max(1, t.addresses))
+	status.Cut = enough && t.receivedAt.Before(t.since.Add(inFlightWindow))
 	return status
 }
 
 // expire removes addresses that are no longer tried: their instances may be gone.
-func (b *Book) expire(now time.Time) {
-	for address, entry := range b.failed {
+func (t *Tracker) expire(now time.Time) {
+	for address, entry := range t.failed {
 		if now.Sub(entry.lastAt) > failureTTL {
-			delete(b.failed, address)
-			delete(b.consecutive, address)
+			delete(t.failed, address)
+			delete(t.consecutive, address)
 		}
 	}
-	if len(b.consecutive) == 0 {
-		b.since = time.Time{}
+	if len(t.consecutive) == 0 {
+		t.since = time.Time{}
 	}
 }
--- a/reach/tracker_test.go
+++ b/reach/tracker_test.go
@@ -14,7 +14,7 @@
 }
 
 // failAll records one failed attempt at each of count addresses, all at the same time.
-func failAll(tracker *reach.Book, now time.Time, count int) {
+func failAll(tracker *reach.Tracker, now time.Time, count int) {
 	for number := range count {
 		tracker.Failed(now, fmt.Sprint("a", number), now)
 	}
@@ -26,47 +26,47 @@
 	cases := []struct {
 		name          string
 		addresses     int
-		actions       func(tracker *reach.Book)
+		actions       func(tracker *reach.Tracker)
 		doubtful, cut bool
 	}{
-		{"no attempts", 20, func(*reach.Book) {}, false, false},
-		{"one stopped server", 20, func(tracker *reach.Book) {
+		{"no attempts", 20, func(*reach.Tracker) {}, false, false},
+		{"one stopped server", 20, func(tracker *reach.Tracker) {
 			for number := range 5 {
 				tracker.Failed(at(100*number), "a0", at(100*number))
 			}
 		}, false, false},
-		{"two consecutive failures", 20, func(tracker *reach.Book) { failAll(tracker, at(0), 2) }, true, false},
-		{"four consecutive failures", 20, func(tracker *reach.Book) { failAll(tracker, at(0), 4) }, true, true},
-		{"four failures with a success in between", 20, func(tracker *reach.Book) {
+		{"two consecutive failures", 20, func(tracker *reach.Tracker) { failAll(tracker, at(0), 2) }, true, false},
+		{"four consecutive failures", 20, func(tracker *reach.Tracker) { failAll(tracker, at(0), 4) }, true, true},
+		{"four failures with a success in between", 20, func(tracker *reach.Tracker) {
 			failAll(tracker, at(0), 2)
 			tracker.Connected(at(10), "b")
 			tracker.Failed(at(20), "a2", at(15))
 			tracker.Failed(at(20), "a3", at(15))
 		}, true, false},
-		{"attempts that began before a success", 20, func(tracker *reach.Book) {
+		{"attempts that began before a success", 20, func(tracker *reach.Tracker) {
 			tracker.Connected(at(10), "b")
 			for number := range 4 {
 				tracker.Failed(at(20), fmt.Sprint("a", number), at(5))
 			}
 		}, false, false},
-		{"four new connections fail, open ones still receive", 20, func(tracker *reach.Book) {
+		{"four new connections fail, open ones still receive", 20, func(tracker *reach.Tracker) {
 			failAll(tracker, at(0), 4)
-			tracker.Heard(at(400))
+			tracker.ObserveBytes(at(400))
 		}, true, false},
-		{"bytes that were in flight", 20, func(tracker *reach.Book) {
+		{"bytes that were in flight", 20, func(tracker *reach.Tracker) {
 			failAll(tracker, at(0), 4)
-			tracker.Heard(at(100))
+			tracker.ObserveBytes(at(100))
 		}, true, true},
-		{"the only server", 1, func(tracker *reach.Book) { failAll(tracker, at(0), 1) }, true, true},
-		{"connected again", 20, func(tracker *reach.Book) {
+		{"the only server", 1, func(tracker *reach.Tracker) { failAll(tracker, at(0), 1) }, true, true},
+		{"connected again", 20, func(tracker *reach.Tracker) {
 			failAll(tracker, at(0), 6)
 			tracker.Connected(at(500), "a0")
 		}, false, false},
-		{"failures that have expired", 20, func(tracker *reach.Book) { failAll(tracker, at(-11000), 6) }, false, false},
+		{"failures that have expired", 20, func(tracker *reach.Tracker) { failAll(tracker, at(-11000), 6) }, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			tracker := reach.NewBook()
+			tracker := reach.NewTracker()
 			tracker.SetAddresses(c.addresses)
 			c.actions(tracker)
 			if status := tracker.Status(at(500)); status.Doubtful != c.doubtful || status.Cut != c.cut {
@@ -78,7 +78,7 @@
 
 // TestPlans covers how connections are made before, during and after a cut.
 func TestPlans(t *testing.T) {
-	tracker := reach.NewBook()
+	tracker := reach.NewTracker()
 	tracker.SetAddresses(20)
 	if plan := tracker.Plan(at(0), "a0"); !plan.Direct || !plan.Relay || plan.RelayAfter < 100*time.Millisecond {
 		t.Errorf("no failures: %+v", plan)
@@ -117,17 +117,17 @@
 // TestConnectionsOverPathsThatFailedAreNotUsedAgain guards against requests that hang on open connections over a
 // path that has failed since.
 func TestConnectionsOverPathsThatFailedAreNotUsedAgain(t *testing.T) {
-	tracker := reach.NewBook()
+	tracker := reach.NewTracker()
 	tracker.SetAddresses(20)
-	if !tracker.Fit("a0", at(-5000)) {
+	if !tracker.Reusable("a0", at(-5000)) {
 		t.Error("no failures: an idle connection is not reused")
 	}
 	tracker.Failed(at(0), "a0", at(0))
-	if tracker.Fit("a0", at(-10)) || !tracker.Fit("a0", at(10)) || !tracker.Fit("a1", at(-10)) {
+	if tracker.Reusable("a0", at(-10)) || !tracker.Reusable("a0", at(10)) || !tracker.Reusable("a1", at(-10)) {
 		t.Error("wrong connections reused after one address failed")
 	}
 	failAll(tracker, at(100), 2)
-	if tracker.Fit("a5", at(-10)) || !tracker.Fit("a5", at(200)) {
+	if tracker.Reusable("a5", at(-10)) || !tracker.Reusable("a5", at(200)) {
 		t.Error("wrong connections reused while all paths are in doubt")
 	}
 }
@@ -165,7 +165,7 @@
 	for number := range 6 {
 		relays.Failed(at(10000*number), "far0", false)
 	}
-	relays.Helped("far0")
+	relays.Succeeded("far0")
 	relays.Failed(at(100000), "far0", false)
 	last := 0
 	const draws = 50
@@ -187,7 +187,7 @@
 // because another daemon reached it earlier.
 func TestWhoseFaultItIs(t *testing.T) {
 	addresses := []string{"a0", "a1"}
-	tracker := reach.NewBook()
+	tracker := reach.NewTracker()
 	failAll(tracker, at(0), 1)
 	if failed, own, unproved := tracker.Failures(at(0), addresses); failed != 1 || own != 0 || unproved != "a0" {
 		t.Errorf("after the first failure: %d failed, %d by local fault, unproved %q", failed, own, unproved)
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -81,10 +81,10 @@
 	return names
 }
 
-// Learn merges one object from any source, such as the response to a write by
+// Merge merges one object from any source, such as the response to a write by
 // this daemon. It does not change the version that the store is complete
 // through. It returns whether the object was newer than the stored one.
-func (s *Store) Learn(object api.Object) bool {
+func (s *Store) Merge(object api.Object) bool {
 	if object.Version <= s.objects[object.Key].Version {
 		return false
 	}
@@ -131,7 +131,7 @@
 func (s *Store) Apply(delta Delta) []api.Key {
 	var changed []api.Key
 	for _, object := range delta.Objects {
-		if s.Learn(object) {
+		if s.Merge(object) {
 			changed = append(changed, object.Key)
 		}
 	}
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -77,7 +77,7 @@
 				}
 			case 4:
 				if len(written.writes) > 0 {
-					store.Learn(rapid.SampledFrom(written.writes).Draw(t, "own write"))
+					store.Merge(rapid.SampledFrom(written.writes).Draw(t, "own write"))
 				}
 			}
 			checkStore(t, &written, store, seen[target])
--- a/residency/adapters.go
+++ b/residency/adapters.go
@@ -124,7 +124,7 @@
 // acceptsAdapters reports whether an instance can be ordered now to load an adapter of a model.
 func (p *plan) acceptsAdapters(s *projection, model *fleet.Model) bool {
 	replica := s.models[model.Name]
-	return replica != nil && replica.ready && !replica.unloading && !s.blocked && !s.modelOrderPending && s.loading < p.settings.MaxComing
+	return replica != nil && replica.ready && !replica.unloading && !s.blocked && !s.modelOrderPending && s.loading < p.settings.MaxLoadingAdapters
 }
 
 func (p *plan) loadAdapter(s *projection, model *fleet.Model, adapter, reason string) {
--- a/residency/crash.go
+++ b/residency/crash.go
@@ -10,10 +10,10 @@
 // reflects it: the platform removes an entry after three missed heartbeats (3.6 s).
 const crashTTL = 4 * time.Second
 
-// Crashed records that the address of an instance refused a connection, so that its models are
+// RecordCrash records that the address of an instance refused a connection, so that its models are
 // lost. A report that was requested later shows that the instance is alive.
-func (b *Book) Crashed(at time.Time, id string) {
-	if state := b.instances[id]; state != nil && at.After(state.reportAt) {
+func (t *Tracker) RecordCrash(at time.Time, id string) {
+	if state := t.instances[id]; state != nil && at.After(state.reportAt) {
 		state.crashedAt = at
 	}
 }
--- a/residency/crash_test.go
+++ b/residency/crash_test.go
@@ -35,7 +35,7 @@
 		t.Fatalf("loaded on %v before the crash", early)
 	}
 	c.now = c.now.Add(10 * time.Millisecond)
-	c.tracker.Crashed(c.now, "s1")
+	c.tracker.RecordCrash(c.now, "s1")
 	if targets := loadTargets(c.plan(), "big"); len(targets) != 1 || targets[0] != "s2" {
 		t.Errorf("loaded on %v, want s2", targets)
 	}
@@ -45,7 +45,7 @@
 func TestSlowLoadsDoNotFollowARefusedConnection(t *testing.T) {
 	c := crashDeployment(6 * time.Second)
 	c.now = c.now.Add(10 * time.Millisecond)
-	c.tracker.Crashed(c.now, "s1")
+	c.tracker.RecordCrash(c.now, "s1")
 	if targets := loadTargets(c.plan(), "big"); len(targets) > 0 {
 		t.Errorf("loaded on %v", targets)
 	}
@@ -69,7 +69,7 @@
 	for _, example := range cases {
 		c := crashDeployment(time.Second)
 		start := c.now
-		c.tracker.Crashed(start.Add(10*time.Millisecond), "s1")
+		c.tracker.RecordCrash(start.Add(10*time.Millisecond), "s1")
 		if example.requestedAt >= 0 {
 			c.tracker.Report(start.Add(example.requestedAt), start.Add(500*time.Millisecond), "s1", c.instances[0].report())
 		}
@@ -84,14 +84,14 @@
 func TestCrashedServerGetsNoOrderAgain(t *testing.T) {
 	c := crashDeployment(time.Second)
 	lost := residency.Order{Instance: "s1", Load: true, Model: "big"}
-	c.tracker.Sending(c.now, lost)
-	c.tracker.Answered(c.now, lost, residency.AnswerUnknown)
+	c.tracker.RecordSending(c.now, lost)
+	c.tracker.RecordAnswer(c.now, lost, residency.AnswerUnknown)
 	c.now = c.now.Add(time.Second)
-	if again := c.tracker.Resend(c.now); len(again) != 1 {
+	if again := c.tracker.DueResends(c.now); len(again) != 1 {
 		t.Fatalf("sent again before the crash: %v", again)
 	}
-	c.tracker.Crashed(c.now, "s1")
-	if again := c.tracker.Resend(c.now); len(again) > 0 {
+	c.tracker.RecordCrash(c.now, "s1")
+	if again := c.tracker.DueResends(c.now); len(again) > 0 {
 		t.Errorf("sent again: %v", again)
 	}
 }
--- a/residency/deployment_test.go
+++ b/residency/deployment_test.go
@@ -50,11 +50,11 @@
 	s.sequence++
 	if order.Adapter == "" {
 		s.busy = &order
-		return residency.AnswerTaken
+		return residency.AnswerAccepted
 	}
 	s.apply(order)
 	if order.Load {
-		return residency.AnswerTaken
+		return residency.AnswerAccepted
 	}
 	return residency.AnswerDone
 }
@@ -122,7 +122,7 @@
 
 // promptDeployment has a tracker and instances that answer at once.
 type promptDeployment struct {
-	tracker   *residency.Book
+	tracker   *residency.Tracker
 	engine    *fleet.Engine
 	instances []*fakeInstance
 	now       time.Time
@@ -130,7 +130,7 @@
 }
 
 func newPromptDeployment(instances ...*fakeInstance) *promptDeployment {
-	c := &promptDeployment{tracker: residency.NewBook(residency.DefaultSettings()), engine: engine(), instances: instances, now: time.Unix(1000, 0)}
+	c := &promptDeployment{tracker: residency.NewTracker(residency.DefaultSettings()), engine: engine(), instances: instances, now: time.Unix(1000, 0)}
 	putAll(c.tracker, fleetInstances(instances))
 	return c
 }
@@ -140,16 +140,16 @@
 	for end := c.now.Add(duration); c.now.Before(end); c.now = c.now.Add(200 * time.Millisecond) {
 		for _, s := range c.instances {
 			if s.unresponsive {
-				c.tracker.Unanswered(c.now, s.id)
+				c.tracker.RecordUnanswered(c.now, s.id)
 				continue
 			}
 			s.finish()
 			c.tracker.Report(c.now, c.now, s.id, s.report())
 		}
-		for _, order := range append(c.tracker.Resend(c.now), c.tracker.Plan(c.now, serviceFor(c.engine), demand)...) {
+		for _, order := range append(c.tracker.DueResends(c.now), c.tracker.Plan(c.now, serviceFor(c.engine), demand)...) {
 			c.orders = append(c.orders, order)
-			c.tracker.Sending(c.now, order)
-			c.tracker.Answered(c.now, order, find(c.instances, order.Instance).accept(order))
+			c.tracker.RecordSending(c.now, order)
+			c.tracker.RecordAnswer(c.now, order, find(c.instances, order.Instance).accept(order))
 		}
 	}
 	for _, s := range c.instances {
@@ -161,7 +161,7 @@
 func (c *promptDeployment) plan() []residency.Order {
 	orders := c.tracker.Plan(c.now, serviceFor(c.engine), nil)
 	for _, order := range orders {
-		c.tracker.Sending(c.now, order)
+		c.tracker.RecordSending(c.now, order)
 	}
 	return orders
 }
@@ -196,8 +196,8 @@
 }
 
 // putAll adds the instances to the tracker. In these tests none of them is removed.
-func putAll(tracker *residency.Book, fleetInstances []*fleet.Instance) {
+func putAll(tracker *residency.Tracker, fleetInstances []*fleet.Instance) {
 	for _, instance := range fleetInstances {
-		tracker.Put(instance)
+		tracker.UpsertInstance(instance)
 	}
 }
--- a/residency/forecast.go
+++ b/residency/forecast.go
@@ -20,11 +20,11 @@
 	demandSince time.Time
 }
 
-func (b *Book) forecastOf(service string) *demandForecast {
-	forecast := b.demandForecast[service]
+func (t *Tracker) forecastOf(service string) *demandForecast {
+	forecast := t.demandForecast[service]
 	if forecast == nil {
 		forecast = &demandForecast{}
-		b.demandForecast[service] = forecast
+		t.demandForecast[service] = forecast
 	}
 	return forecast
 }
@@ -67,7 +67,7 @@
 			demand := expected[successor]
 			predecessor := p.engine.Models[i].Name
 			concurrent := p.demand[predecessor].PerSecond * p.requestSeconds(successor, meanSeconds)
-			demand.Concurrent = max(demand.Concurrent, p.settings.NextShare*max(concurrent, priorWeight*p.settings.NextPrior*p.priorDemand(forecast, predecessor)))
+			demand.Concurrent = max(demand.Concurrent, p.settings.SuccessorShare*max(concurrent, priorWeight*p.settings.SuccessorPriorFactor*p.priorDemand(forecast, predecessor)))
 			expected[successor] = demand
 		}
 	}
@@ -85,18 +85,18 @@
 }
 
 // shiftRange returns how many positions further down the list the requests for a model are
-// forecast. Until a shift was observed, this is any of the next NextReach positions; after that it
+// forecast. Until a shift was observed, this is any of the next SuccessorCount positions; after that it
 // is the observed shift.
 func (p *plan) shiftRange(forecast *demandForecast) (nearest, farthest int) {
 	if forecast.shift.step > 0 {
 		return forecast.shift.step, forecast.shift.step
 	}
-	return 1, p.settings.NextReach
+	return 1, p.settings.SuccessorCount
 }
 
 // priorDemand is the demand that the initial replicas of a model represent.
 func (p *plan) priorDemand(forecast *demandForecast, model string) float64 {
-	return p.settings.PriorPerReplica * float64(max(0, forecast.initialReplicas[model]-1))
+	return p.settings.PriorDemandPerReplica * float64(max(0, forecast.initialReplicas[model]-1))
 }
 
 // priorWeight is the weight of the prior demand. It is one until there are requests and decays
--- a/residency/parking.go
+++ b/residency/parking.go
@@ -33,7 +33,7 @@
 // to be left without a replica while it is idle. A request for it must get its first token before
 // the client disconnects, even if the load is from the weight store.
 func (s *Service) parkable(model *fleet.Model) bool {
-	return model != nil && model.LoadTime > 0 && maxSwapTime(model) <= s.Patience
+	return model != nil && model.LoadTime > 0 && maxSwapTime(model) <= s.ClientTimeout
 }
 
 // idleTracker tracks since when the parkable models of a service have been idle.
@@ -45,11 +45,11 @@
 	parked int
 }
 
-func (b *Book) idleTrackerOf(service string) *idleTracker {
-	tracker := b.idleTrackers[service]
+func (t *Tracker) idleTrackerOf(service string) *idleTracker {
+	tracker := t.idleTrackers[service]
 	if tracker == nil {
 		tracker = &idleTracker{since: map[string]time.Time{}}
-		b.idleTrackers[service] = tracker
+		t.idleTrackers[service] = tracker
 	}
 	return tracker
 }
@@ -85,10 +85,10 @@
 	return now.Sub(since)
 }
 
-// Parked returns the number of idle models that the latest plans left without a replica.
-func (b *Book) Parked() int {
+// ParkedCount returns the number of idle models that the latest plans left without a replica.
+func (t *Tracker) ParkedCount() int {
 	total := 0
-	for _, tracker := range b.idleTrackers {
+	for _, tracker := range t.idleTrackers {
 		total += tracker.parked
 	}
 	return total
@@ -119,7 +119,7 @@
 	if p.unparking(requested.Name) {
 		return cost, true
 	}
-	cost += p.settings.PressingGain
+	cost += p.settings.MinPrecedenceGain
 	return cost, cost <= p.gainWithoutForecast(requested.Name)
 }
 
@@ -141,8 +141,8 @@
 func (s *instanceState) recordSwap(now time.Time, order *Order) {
 	switch {
 	case s.unanswered != nil:
-	case order.RoomFor != "":
-		s.swap = swap{model: order.RoomFor, since: now}
+	case order.ReservedFor != "":
+		s.swap = swap{model: order.ReservedFor, since: now}
 	case order.Load && order.Adapter == "" && order.Model != s.reservedFor:
 		s.swap = swap{model: order.Model, since: now}
 	}
--- a/residency/parking_test.go
+++ b/residency/parking_test.go
@@ -58,7 +58,7 @@
 	replicas := map[time.Duration]int{}
 	for _, clientTimeout := range []time.Duration{0, parkClientTimeout} {
 		f := contendedSimulation()
-		f.service.Patience = clientTimeout
+		f.service.ClientTimeout = clientTimeout
 		f.run(2*time.Second, nil)
 		f.requestContended()
 		f.run(duration, func() {
@@ -69,7 +69,7 @@
 			}
 		})
 		replicas[clientTimeout] = f.busyReplicas()
-		t.Logf("client timeout %v: %d replicas of the busy models, %d models parked, %d orders", clientTimeout, replicas[clientTimeout], f.tracker.Parked(), len(f.orders))
+		t.Logf("client timeout %v: %d replicas of the busy models, %d models parked, %d orders", clientTimeout, replicas[clientTimeout], f.tracker.ParkedCount(), len(f.orders))
 	}
 	if more := replicas[parkClientTimeout] - replicas[0]; more < 10 {
 		t.Errorf("parking gives the busy models %d more replicas, want at least 10", more)
@@ -81,7 +81,7 @@
 func TestNothingIsParkedTooSoon(t *testing.T) {
 	f := contendedSimulation()
 	f.run(10*time.Second, nil)
-	if len(f.orders) > 0 || f.tracker.Parked() > 0 {
+	if len(f.orders) > 0 || f.tracker.ParkedCount() > 0 {
 		t.Fatalf("orders %v before any demand", f.orders)
 	}
 	f.requestContended()
@@ -132,7 +132,7 @@
 			}
 		}
 	})
-	if f.tracker.Parked() == 0 {
+	if f.tracker.ParkedCount() == 0 {
 		t.Error("no model was parked")
 	}
 }
@@ -140,19 +140,19 @@
 // TestSeveralModelsGrowInOnePlan guards against a scale-up of only one model in each plan.
 func TestSeveralModelsGrowInOnePlan(t *testing.T) {
 	f := contendedSimulation()
-	f.service.Patience = 0
+	f.service.ClientTimeout = 0
 	f.requestContended()
 	f.run(15*time.Second, nil)
-	f.service.Patience = parkClientTimeout
+	f.service.ClientTimeout = parkClientTimeout
 	grown, maxGrown := map[time.Time]map[string]bool{}, 0
 	f.beforeSend = func(order residency.Order) {
-		if order.RoomFor == "" {
+		if order.ReservedFor == "" {
 			return
 		}
 		if grown[f.now] == nil {
 			grown[f.now] = map[string]bool{}
 		}
-		grown[f.now][order.RoomFor] = true
+		grown[f.now][order.ReservedFor] = true
 		maxGrown = max(maxGrown, len(grown[f.now]))
 	}
 	f.run(5*time.Second, nil)
@@ -201,8 +201,8 @@
 		}
 		f.requestContended()
 		f.run(10*time.Second, nil)
-		if parks := f.tracker.Parked() > 0; parks != c.parks {
-			t.Errorf("a load takes %v: %d models are parked", c.loadTime, f.tracker.Parked())
+		if parks := f.tracker.ParkedCount() > 0; parks != c.parks {
+			t.Errorf("a load takes %v: %d models are parked", c.loadTime, f.tracker.ParkedCount())
 		}
 	}
 }
@@ -212,7 +212,7 @@
 func TestOrdersAreTheSameWhereTheRuleIsNotMet(t *testing.T) {
 	simulate := func(clientTimeout time.Duration, refused bool) []residency.Order {
 		f := contendedSimulation()
-		f.service.Patience = clientTimeout
+		f.service.ClientTimeout = clientTimeout
 		f.run(time.Second, nil)
 		f.requestContended()
 		f.run(10*time.Second, func() {
--- a/residency/parkingdemand_test.go
+++ b/residency/parkingdemand_test.go
@@ -48,7 +48,7 @@
 		rareShare                            = 0.1
 	)
 	f, random := contendedSimulation(), rand.New(rand.NewPCG(seed, 1))
-	f.service.Patience = clientTimeout
+	f.service.ClientTimeout = clientTimeout
 	f.run(2*time.Second, nil)
 	tally := &requestTally{since: map[string]time.Time{}}
 	for second := range seconds {
--- a/residency/parkinglimits_test.go
+++ b/residency/parkinglimits_test.go
@@ -19,8 +19,8 @@
 		for i := range e.Models {
 			e.Models[i].LoadTime = time.Second
 		}
-		planned := &residency.Service{Name: service, Engine: e, Patience: 3 * time.Second}
-		tracker := residency.NewBook(residency.DefaultSettings())
+		planned := &residency.Service{Name: service, Engine: e, ClientTimeout: 3 * time.Second}
+		tracker := residency.NewTracker(residency.DefaultSettings())
 		instances := []*fakeInstance{
 			{id: "s1", models: map[string][]string{"big": nil, "mid": nil}}, {id: "s2", models: map[string][]string{"other": nil, "small": nil}},
 			{id: "s3", models: map[string][]string{"tiny": nil, "other": nil}},
@@ -42,7 +42,7 @@
 					requestedAt[model] = now
 				}
 			}
-			again := tracker.Resend(now)
+			again := tracker.DueResends(now)
 			for i, order := range append(again, tracker.Plan(now, planned, demand)...) {
 				// A resent order was decided earlier.
 				if i >= len(again) && takesLast(instances, order) {
@@ -51,11 +51,11 @@
 						t.Fatalf("%s loses its last replica %v after a request", order.Model, now.Sub(at))
 					}
 				}
-				tracker.Sending(now, order)
+				tracker.RecordSending(now, order)
 				if order.FromStore {
 					loads = append(loads, now)
 				}
-				tracker.Answered(now, order, deliver(t, find(instances, order.Instance), order))
+				tracker.RecordAnswer(now, order, deliver(t, find(instances, order.Instance), order))
 				find(instances, order.Instance).check(t, e)
 			}
 			checkRate(t, loads, e.LoadsPerSecond, now)
@@ -67,7 +67,7 @@
 }
 
 // stepInstances lets instances complete their orders, delivers late orders and takes reports.
-func stepInstances(t *rapid.T, tracker *residency.Book, instances []*fakeInstance, now time.Time) {
+func stepInstances(t *rapid.T, tracker *residency.Tracker, instances []*fakeInstance, now time.Time) {
 	for _, s := range instances {
 		if rapid.IntRange(0, 2).Draw(t, "finish") == 0 {
 			s.finish()
--- a/residency/parkingsimulation_test.go
+++ b/residency/parkingsimulation_test.go
@@ -38,7 +38,7 @@
 // parkingSimulation simulates instances with room for two models each, and requests for some of the
 // models, in virtual time.
 type parkingSimulation struct {
-	tracker   *residency.Book
+	tracker   *residency.Tracker
 	service   *residency.Service
 	instances []*timedInstance
 	now       time.Time
@@ -57,14 +57,14 @@
 // newParkingSimulation returns instances that hold the given models, with a local copy of each.
 func newParkingSimulation(models int, places ...[]int) *parkingSimulation {
 	f := &parkingSimulation{
-		tracker: residency.NewBook(residency.DefaultSettings()), now: time.Unix(1000, 0),
+		tracker: residency.NewTracker(residency.DefaultSettings()), now: time.Unix(1000, 0),
 		requestRate: map[string]float64{}, demand: map[string]residency.Demand{}, hanging: map[string]bool{},
 	}
 	engine := &fleet.Engine{Slots: 64, WeightsMB: 200, AdapterSlots: 8, LoadsPerSecond: 16}
 	for i := range models {
 		engine.Models = append(engine.Models, fleet.Model{Name: modelName(i), WeightsMB: 100, LoadTime: storeLoadTime, WarmTime: localLoadTime, DiskTime: localLoadTime})
 	}
-	f.service = &residency.Service{Name: service, Engine: engine, Patience: parkClientTimeout}
+	f.service = &residency.Service{Name: service, Engine: engine, ClientTimeout: parkClientTimeout}
 	for i, place := range places {
 		s := &timedInstance{fakeInstance: fakeInstance{id: fmt.Sprintf("s%02d", i), models: map[string][]string{}}, copies: map[string]bool{}}
 		s.instance = &fleet.Instance{ID: s.id, Service: service, Zone: fmt.Sprint("zone-", i%3), Slots: 64}
@@ -172,10 +172,10 @@
 }
 
 func (f *parkingSimulation) plan() {
-	for _, order := range append(f.tracker.Resend(f.now), f.tracker.Plan(f.now, f.service, f.demand)...) {
+	for _, order := range append(f.tracker.DueResends(f.now), f.tracker.Plan(f.now, f.service, f.demand)...) {
 		f.orders = append(f.orders, order)
-		f.tracker.Sending(f.now, order)
-		f.tracker.Answered(f.now, order, f.accept(order))
+		f.tracker.RecordSending(f.now, order)
+		f.tracker.RecordAnswer(f.now, order, f.accept(order))
 		if f.beforeSend != nil {
 			f.beforeSend(order)
 		}
@@ -194,7 +194,7 @@
 func (f *parkingSimulation) accept(order residency.Order) residency.Answer {
 	s := f.instance(order.Instance)
 	answer := s.accept(order)
-	if s.busy != nil && answer == residency.AnswerTaken {
+	if s.busy != nil && answer == residency.AnswerAccepted {
 		s.doneAt = f.now.Add(f.orderTime(s, &order))
 		s.nextReport = f.now.Add(parkOrderReportDelay)
 	}
@@ -217,10 +217,10 @@
 // takeOver replaces the lease holder by one without a record of its orders and begins to plan
 // after a gap.
 func (f *parkingSimulation) takeOver(gap time.Duration) {
-	f.tracker = residency.NewBook(residency.DefaultSettings())
+	f.tracker = residency.NewTracker(residency.DefaultSettings())
 	f.registerInstances()
 	f.plansFrom = f.now.Add(gap)
-	f.tracker.Inherit(f.plansFrom, f.service.Engine.LoadsPerSecond)
+	f.tracker.AssumeStoreRateUsed(f.plansFrom, f.service.Engine.LoadsPerSecond)
 	for _, s := range f.instances {
 		s.nextReport = f.now
 	}
--- a/residency/plan.go
+++ b/residency/plan.go
@@ -44,20 +44,20 @@
 }
 
 // Plan returns the orders that are due now, at most one for each instance of the service.
-func (b *Book) Plan(now time.Time, service *Service, demand map[string]Demand) []Order {
+func (t *Tracker) Plan(now time.Time, service *Service, demand map[string]Demand) []Order {
 	engine := service.Engine
 	p := &plan{
-		now: now, settings: b.settings, service: service, engine: engine, models: modelsByName(engine),
-		observed: demand, demand: demand, waitingTimes: b.waitingTimesOf(service.Name), idle: b.idleTrackerOf(service.Name),
+		now: now, settings: t.settings, service: service, engine: engine, models: modelsByName(engine),
+		observed: demand, demand: demand, waitingTimes: t.waitingTimesOf(service.Name), idle: t.idleTrackerOf(service.Name),
 		hosts: map[string][]*projection{}, replicas: map[string]int{}, reachable: map[string]int{}, ready: map[string]int{},
-		loadsLeft: b.loads.remaining(now, engine.LoadsPerSecond, b.settings.Window),
+		loadsLeft: t.loads.remaining(now, engine.LoadsPerSecond, t.settings.Window),
 	}
 	replaces := replacesCrashed(engine)
-	for _, state := range b.instances {
+	for _, state := range t.instances {
 		excluded := replaces && state.crashed(now)
 		if state.instance.Service == service.Name && !state.instance.Leaving && !excluded {
-			s := newProjection(now, state, engine, p.models, b.settings)
-			s.limited = b.limited[state.instance.ID]
+			s := newProjection(now, state, engine, p.models, t.settings)
+			s.limited = t.limited[state.instance.ID]
 			p.projections = append(p.projections, s)
 		}
 	}
@@ -65,7 +65,7 @@
 	p.countReplicas()
 	p.addRefusedDemand()
 	p.withRefused = p.demand
-	p.forecastDemand(b.forecastOf(service.Name))
+	p.forecastDemand(t.forecastOf(service.Name))
 	p.idle.observe(p)
 	p.waitingTimes.observe(now, engine, demand)
 	p.loadReserved()
@@ -73,7 +73,7 @@
 	p.makeReachable((*plan).requested)
 	p.addReplicasForSoftware()
 	p.reserveStoreLoads()
-	p.scaleUp(p.settings.PressingGain)
+	p.scaleUp(p.settings.MinPrecedenceGain)
 	p.makeReachable((*plan).notRequested)
 	p.scaleUp(p.settings.LoadCost)
 	if !p.unplaced {
--- a/residency/plan_bench_test.go
+++ b/residency/plan_bench_test.go
@@ -29,7 +29,7 @@
 	for _, clientTimeout := range []time.Duration{0, parkClientTimeout} {
 		b.Run(fmt.Sprint("patience=", clientTimeout), func(b *testing.B) {
 			f := contendedSimulation()
-			f.service.Patience = clientTimeout
+			f.service.ClientTimeout = clientTimeout
 			f.requestContended()
 			f.run(6*time.Second, nil)
 			b.ReportAllocs()
--- a/residency/projection.go
+++ b/residency/projection.go
@@ -69,8 +69,8 @@
 		s.reservedFor = state.reservedFor
 	}
 	s.modelOrderPending = state.report.Busy
-	s.unresponsive = state.unresponsive(now, settings.SilentAfter)
-	s.suspect = state.unresponsive(now, settings.QuietAfter)
+	s.unresponsive = state.unresponsive(now, settings.UnresponsiveAfter)
+	s.suspect = state.unresponsive(now, settings.SuspectAfter)
 	s.blocked = s.unresponsive || state.reportAt.IsZero() || state.sending != nil || state.unanswered != nil || now.Before(state.backoffUntil)
 	for _, order := range state.pending() {
 		s.reserve(order)
--- a/residency/residency_test.go
+++ b/residency/residency_test.go
@@ -16,7 +16,7 @@
 func TestOrdersKeepEveryLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := engine()
-		tracker := residency.NewBook(residency.DefaultSettings())
+		tracker := residency.NewTracker(residency.DefaultSettings())
 		instances := []*fakeInstance{
 			{id: "s1", models: map[string][]string{"big": nil, "mid": nil}}, {id: "s2", models: map[string][]string{"big": nil, "small": nil}},
 			{id: "s3", models: map[string][]string{"tiny": nil, "other": nil}}, {id: "s4", models: map[string][]string{}},
@@ -47,13 +47,13 @@
 				demand["big"] = residency.Demand{Concurrent: 3, Waiting: 1, Adapters: map[string]int{"a6": 1}}
 			}
 			before := reachable(instances)
-			orders := append(tracker.Resend(now), tracker.Plan(now, serviceFor(e), demand)...)
+			orders := append(tracker.DueResends(now), tracker.Plan(now, serviceFor(e), demand)...)
 			for _, order := range orders {
-				tracker.Sending(now, order)
+				tracker.RecordSending(now, order)
 				if order.FromStore {
 					loads = append(loads, now)
 				}
-				tracker.Answered(now, order, deliver(t, find(instances, order.Instance), order))
+				tracker.RecordAnswer(now, order, deliver(t, find(instances, order.Instance), order))
 				find(instances, order.Instance).check(t, e)
 			}
 			checkRate(t, loads, e.LoadsPerSecond, now)
@@ -190,13 +190,13 @@
 	c.run(20*time.Second, nil)
 	c.run(10*time.Second, map[string]residency.Demand{"other": {Concurrent: 80}})
 	for i, order := range c.orders {
-		if order.RoomFor == "" {
+		if order.ReservedFor == "" {
 			continue
 		}
 		for _, next := range c.orders[i+1:] {
 			if next.Instance == order.Instance && next.Load && next.Adapter == "" {
-				if next.Model != order.RoomFor {
-					t.Fatalf("memory reserved for %s on %s was used for %s", order.RoomFor, order.Instance, next.Model)
+				if next.Model != order.ReservedFor {
+					t.Fatalf("memory reserved for %s on %s was used for %s", order.ReservedFor, order.Instance, next.Model)
 				}
 				break
 			}
@@ -214,16 +214,16 @@
 	if len(orders) != 1 {
 		t.Fatalf("orders %v", orders)
 	}
-	c.tracker.Sending(c.now, orders[0])
-	c.tracker.Answered(c.now, orders[0], residency.AnswerUnknown)
+	c.tracker.RecordSending(c.now, orders[0])
+	c.tracker.RecordAnswer(c.now, orders[0], residency.AnswerUnknown)
 	if planned := c.tracker.Plan(c.now, serviceFor(c.engine), nil); len(planned) != 0 {
 		t.Fatalf("orders %v before the outcome of the first one is known", planned)
 	}
-	again := c.tracker.Resend(c.now.Add(time.Second))
+	again := c.tracker.DueResends(c.now.Add(time.Second))
 	if len(again) != 1 || again[0].Expected != orders[0].Expected || again[0].Model != orders[0].Model {
 		t.Fatalf("sent again: %v", again)
 	}
-	if instance.accept(again[0]) != residency.AnswerTaken || instance.accept(orders[0]) != residency.AnswerBusy {
+	if instance.accept(again[0]) != residency.AnswerAccepted || instance.accept(orders[0]) != residency.AnswerBusy {
 		t.Fatal("the late order was accepted as well")
 	}
 }
--- a/residency/scaleup.go
+++ b/residency/scaleup.go
@@ -59,7 +59,7 @@
 	}
 	current := p.observed[model]
 	active := max(float64(current.Waiting), current.Concurrent)
-	return p.settings.ReachWorth*(1+active*(1+p.waitingTimes.duration(p.now, model).Seconds())) + p.waitCost(model, 1)
+	return p.settings.ReachValue*(1+active*(1+p.waitingTimes.duration(p.now, model).Seconds())) + p.waitCost(model, 1)
 }
 
 // gain is the reduction of the wait cost of a model by one more replica. loss is the increase by
@@ -106,7 +106,7 @@
 	if s.localCopy[model.Name] {
 		loadTime = max(model.WarmTime, model.DiskTime)
 	}
-	return p.settings.LoadSecondCost * loadTime.Seconds()
+	return p.settings.SwapCostPerSecond * loadTime.Seconds()
 }
 
 // makeRoom evicts the least needed replica from an instance on which the model then fits. It
@@ -140,7 +140,7 @@
 		// can be loaded into.
 		p.loadsLeft--
 	}
-	p.addOrder(v.projection, Order{Model: v.name, RoomFor: model.Name, Reason: reason})
+	p.addOrder(v.projection, Order{Model: v.name, ReservedFor: model.Name, Reason: reason})
 	v.projection.modelOrderPending = true
 	v.projection.reservedFor = model.Name
 	v.projection.models[v.name].unloading = true
--- a/residency/scaleup_test.go
+++ b/residency/scaleup_test.go
@@ -80,11 +80,11 @@
 		deployment.tracker.Report(deployment.now, deployment.now, s.id, s.report())
 	}
 	evictions := deployment.tracker.Plan(deployment.now, serviceFor(deployment.engine), nil)
-	if len(evictions) != 1 || evictions[0].RoomFor != "lost" {
+	if len(evictions) != 1 || evictions[0].ReservedFor != "lost" {
 		t.Fatalf("orders %+v", evictions)
 	}
-	deployment.tracker.Sending(deployment.now, evictions[0])
-	deployment.tracker.Answered(deployment.now, evictions[0], residency.AnswerTaken)
+	deployment.tracker.RecordSending(deployment.now, evictions[0])
+	deployment.tracker.RecordAnswer(deployment.now, evictions[0], residency.AnswerAccepted)
 	putAll(deployment.tracker, fleetInstances(append(deployment.instances, empty))[2:])
 	deployment.tracker.Report(deployment.now, deployment.now, empty.id, empty.report())
 	for _, order := range deployment.tracker.Plan(deployment.now, serviceFor(deployment.engine), map[string]residency.Demand{"hot": {Concurrent: 50, PerSecond: 30}}) {
@@ -104,11 +104,11 @@
 	}
 	demand := map[string]residency.Demand{"lost": {Waiting: 5}}
 	evictions := deployment.tracker.Plan(deployment.now, serviceFor(deployment.engine), demand)
-	if len(evictions) != 1 || evictions[0].RoomFor != "lost" {
+	if len(evictions) != 1 || evictions[0].ReservedFor != "lost" {
 		t.Fatalf("orders %+v", evictions)
 	}
-	deployment.tracker.Sending(deployment.now, evictions[0])
-	deployment.tracker.Answered(deployment.now, evictions[0], residency.AnswerTaken)
+	deployment.tracker.RecordSending(deployment.now, evictions[0])
+	deployment.tracker.RecordAnswer(deployment.now, evictions[0], residency.AnswerAccepted)
 	find(deployment.instances, evictions[0].Instance).unresponsive = true
 	empty := &fakeInstance{id: "s2", models: map[string][]string{}}
 	deployment.instances = append(deployment.instances, empty)
--- a/residency/shiftsimulation_test.go
+++ b/residency/shiftsimulation_test.go
@@ -14,7 +14,7 @@
 // shiftSimulation is a fluid model of many instances under a demand that moves along the list of
 // models. Requests are not discrete but a flow, which the replicas of a model share equally.
 type shiftSimulation struct {
-	tracker        *residency.Book
+	tracker        *residency.Tracker
 	engine         *fleet.Engine
 	durationFactor []float64
 	instances      []*timedInstance
@@ -61,7 +61,7 @@
 
 func newShiftSimulation(seed uint64, instances, models, busyCount, slots int, loadsPerSecond, perSecond, shiftBy float64, loadTime time.Duration, shifts []float64) *shiftSimulation {
 	f := &shiftSimulation{
-		tracker: residency.NewBook(residency.DefaultSettings()), random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0),
+		tracker: residency.NewTracker(residency.DefaultSettings()), random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0),
 		perSecond: perSecond, shiftBy: shiftBy, shifts: shifts, busyCount: busyCount, smoothed: map[string]float64{},
 	}
 	f.start = f.now.Add(13 * time.Second)
@@ -199,7 +199,7 @@
 	f.now = f.now.Add(simStep)
 	for _, s := range f.instances {
 		if f.now.Before(s.downUntil) {
-			f.tracker.Unanswered(f.now, s.id)
+			f.tracker.RecordUnanswered(f.now, s.id)
 			continue
 		}
 		if s.busy != nil && !f.now.Before(s.doneAt) {
@@ -236,8 +236,8 @@
 
 func (f *shiftSimulation) plan() {
 	for _, order := range f.tracker.Plan(f.now, serviceFor(f.engine), f.demand()) {
-		f.tracker.Sending(f.now, order)
-		f.tracker.Answered(f.now, order, f.order(order))
+		f.tracker.RecordSending(f.now, order)
+		f.tracker.RecordAnswer(f.now, order, f.order(order))
 	}
 }
 
@@ -250,7 +250,7 @@
 			return residency.AnswerNotSent
 		}
 		answer := s.accept(order)
-		if s.busy != nil && answer == residency.AnswerTaken && order.Adapter == "" {
+		if s.busy != nil && answer == residency.AnswerAccepted && order.Adapter == "" {
 			s.doneAt = f.now.Add(f.orderTime(s, order))
 			s.nextReport = f.now.Add(120 * time.Millisecond)
 			if order.Load {
--- a/residency/storeloads.go
+++ b/residency/storeloads.go
@@ -60,7 +60,7 @@
 	}
 	load.answerPending = false
 	switch answer {
-	case AnswerTaken:
+	case AnswerAccepted:
 		load.latestStart = now
 	case AnswerDone:
 		load.boundStart(now)
@@ -101,11 +101,11 @@
 	return int(perSecond*window.Seconds()) - len(l.loads)
 }
 
-// Inherit assumes that another daemon has used up the rate limit of the weight store until now.
+// AssumeStoreRateUsed assumes that another daemon has used up the rate limit of the weight store until now.
 // Counting only the loads that the previous lease holder reported is not enough: the loads of the
 // first seconds after a takeover would be missing from the count later.
-func (b *Book) Inherit(now time.Time, perSecond float64) {
-	for range int(perSecond * b.settings.Window.Seconds()) {
-		b.loads.loads = append(b.loads.loads, storeLoad{latestStart: now})
+func (t *Tracker) AssumeStoreRateUsed(now time.Time, perSecond float64) {
+	for range int(perSecond * t.settings.Window.Seconds()) {
+		t.loads.loads = append(t.loads.loads, storeLoad{latestStart: now})
 	}
 }
--- a/residency/storeloads_test.go
+++ b/residency/storeloads_test.go
@@ -78,7 +78,7 @@
 	if orders := c.plan(); len(orders) != 0 {
 		t.Errorf("orders %v although the first one has no answer yet", orders)
 	}
-	c.tracker.Answered(c.now, first, residency.AnswerUnknown)
+	c.tracker.RecordAnswer(c.now, first, residency.AnswerUnknown)
 	c.now = c.now.Add(settings.Window + time.Second)
 	if orders := c.plan(); len(orders) != 0 {
 		t.Errorf("orders %v although the first one may still be executed", orders)
@@ -95,15 +95,15 @@
 	}
 
 	c, first = sending()
-	c.tracker.Answered(c.now, first, residency.AnswerUnknown)
-	c.tracker.Unanswered(c.now, "s0")
-	c.now = c.now.Add(settings.SilentAfter)
-	if again := c.tracker.Resend(c.now); len(again) != 0 {
+	c.tracker.RecordAnswer(c.now, first, residency.AnswerUnknown)
+	c.tracker.RecordUnanswered(c.now, "s0")
+	c.now = c.now.Add(settings.UnresponsiveAfter)
+	if again := c.tracker.DueResends(c.now); len(again) != 0 {
 		t.Errorf("sent again to an unresponsive instance: %v", again)
 	}
-	c.now = c.now.Add(settings.Lateness + settings.Window)
+	c.now = c.now.Add(settings.MaxOrderDelay + settings.Window)
 	c.tracker.Report(c.now, c.now, "s0", c.instances[0].report())
-	if again := c.tracker.Resend(c.now); len(again) != 0 {
+	if again := c.tracker.DueResends(c.now); len(again) != 0 {
 		t.Errorf("sent again without being counted: %v", again)
 	}
 	if orders := c.plan(); len(orders) != 1 || !orders[0].FromStore {
--- a/residency/storesimulation_test.go
+++ b/residency/storesimulation_test.go
@@ -86,7 +86,7 @@
 	random    *rand.Rand
 	faults    faults
 	engine    *fleet.Engine
-	tracker   *residency.Book
+	tracker   *residency.Tracker
 	fence     int
 	plansFrom time.Time
 	instances []*storeInstance
@@ -108,14 +108,14 @@
 	w := &storeSimulation{
 		now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, 1)), faults: faults,
 		engine:  &fleet.Engine{Slots: 32, WeightsMB: storeModels, AdapterSlots: 4, LoadsPerSecond: 2},
-		tracker: residency.NewBook(residency.DefaultSettings()), fence: 1, unanswered: map[*sentOrder]bool{}, orphaned: map[*sentOrder]bool{},
+		tracker: residency.NewTracker(residency.DefaultSettings()), fence: 1, unanswered: map[*sentOrder]bool{}, orphaned: map[*sentOrder]bool{},
 	}
 	for i := range storeModels {
 		w.engine.Models = append(w.engine.Models, fleet.Model{Name: fmt.Sprintf("m%03d", i), WeightsMB: 1})
 	}
 	for i := range storeHosts {
 		s := w.start(fmt.Sprint("h", i), &[]string{})
-		w.tracker.Put(w.instance(s))
+		w.tracker.UpsertInstance(w.instance(s))
 	}
 	w.planLoop()
 	w.faultLoop()
@@ -177,12 +177,12 @@
 func (w *storeSimulation) planLoop() {
 	if !w.now.Before(w.plansFrom) {
 		tracker, fence := w.tracker, w.fence
-		planned := &residency.Service{Name: service, Engine: w.engine, Patience: w.clientTimeout}
-		for _, order := range append(tracker.Resend(w.now), tracker.Plan(w.now, planned, w.demand)...) {
+		planned := &residency.Service{Name: service, Engine: w.engine, ClientTimeout: w.clientTimeout}
+		for _, order := range append(tracker.DueResends(w.now), tracker.Plan(w.now, planned, w.demand)...) {
 			if strings.HasPrefix(order.Reason, "parked") {
 				w.parked++
 			}
-			tracker.Sending(w.now, order)
+			tracker.RecordSending(w.now, order)
 			w.send(tracker, &sentOrder{order: order, fence: fence})
 		}
 	}
@@ -190,14 +190,14 @@
 }
 
 // send delivers an order to its instance and the answer to the sender, unless a fault prevents it.
-func (w *storeSimulation) send(tracker *residency.Book, sent *sentOrder) {
+func (w *storeSimulation) send(tracker *residency.Tracker, sent *sentOrder) {
 	w.unanswered[sent] = true
 	answer := func(delay time.Duration, answer residency.Answer) {
 		w.schedule(delay, func() {
 			if answer != residency.AnswerUnknown {
 				delete(w.unanswered, sent)
 			}
-			tracker.Answered(w.now, sent.order, answer)
+			tracker.RecordAnswer(w.now, sent.order, answer)
 		})
 	}
 	target := w.instanceByID(sent.order.Instance)
@@ -236,7 +236,7 @@
 	defer s.publish(w)
 	if !order.Load {
 		delete(s.resident, order.Model)
-		return residency.AnswerTaken
+		return residency.AnswerAccepted
 	}
 	if !slices.Contains(*s.disk, order.Model) {
 		sent.started = true
@@ -250,7 +250,7 @@
 		*s.disk = (*s.disk)[max(0, len(*s.disk)-diskCopies):]
 		s.publish(w)
 	})
-	return residency.AnswerTaken
+	return residency.AnswerAccepted
 }
 
 // publish makes a change visible in reports after reportLag.
@@ -263,9 +263,9 @@
 	requestedAt, tracker := w.now, w.tracker
 	switch {
 	case s.stopped && !s.unreachable:
-		tracker.Unanswered(requestedAt, s.id)
+		tracker.RecordUnanswered(requestedAt, s.id)
 	case s.unreachable || w.now.Before(s.partitionedUntil):
-		w.schedule(callTimeout, func() { tracker.Unanswered(requestedAt, s.id) })
+		w.schedule(callTimeout, func() { tracker.RecordUnanswered(requestedAt, s.id) })
 	default:
 		requestDelay, responseDelay := w.randomDuration(0, callTimeout/2), w.randomDuration(0, callTimeout/2)
 		w.schedule(requestDelay, func() {
@@ -307,10 +307,10 @@
 func (w *storeSimulation) restart(s *storeInstance, down time.Duration, unreachable bool) {
 	s.stopped, s.unreachable = true, unreachable
 	s.partitionedUntil = w.now.Add(listDelay)
-	w.schedule(listDelay, func() { w.tracker.Remove(s.id) })
+	w.schedule(listDelay, func() { w.tracker.RemoveInstance(s.id) })
 	w.schedule(down, func() {
 		next := w.start(s.host, s.disk)
-		w.schedule(w.randomDuration(0, listDelay), func() { w.tracker.Put(w.instance(next)) })
+		w.schedule(w.randomDuration(0, listDelay), func() { w.tracker.UpsertInstance(w.instance(next)) })
 	})
 }
 
@@ -318,10 +318,10 @@
 func (w *storeSimulation) partition(s *storeInstance, duration time.Duration) {
 	s.partitionedUntil = w.now.Add(duration)
 	if duration > listDelay {
-		w.schedule(listDelay, func() { w.tracker.Remove(s.id) })
+		w.schedule(listDelay, func() { w.tracker.RemoveInstance(s.id) })
 		w.schedule(duration, func() {
 			if !s.stopped {
-				w.tracker.Put(w.instance(s))
+				w.tracker.UpsertInstance(w.instance(s))
 			}
 		})
 	}
@@ -335,16 +335,16 @@
 		}
 	}
 	w.unanswered = map[*sentOrder]bool{}
-	w.tracker = residency.NewBook(residency.DefaultSettings())
+	w.tracker = residency.NewTracker(residency.DefaultSettings())
 	for _, s := range w.instances {
 		if !s.stopped {
-			w.tracker.Put(w.instance(s))
+			w.tracker.UpsertInstance(w.instance(s))
 		}
 	}
 	w.fence++
 	w.plansFrom = w.now.Add(gap)
 	tracker := w.tracker
-	w.schedule(gap, func() { tracker.Inherit(w.now, w.engine.LoadsPerSecond) })
+	w.schedule(gap, func() { tracker.AssumeStoreRateUsed(w.now, w.engine.LoadsPerSecond) })
 }
 
 // peak returns the largest number of loads that started within one window, and the start of that
--- a/residency/tracker.go
+++ b/residency/tracker.go
@@ -11,9 +11,9 @@
 // the lag of reports.
 const busyBackoff = 250 * time.Millisecond
 
-// Book tracks the state of all instances for the daemon that sends orders. It is not safe for
+// Tracker tracks the state of all instances for the daemon that sends orders. It is not safe for
 // concurrent use.
-type Book struct {
+type Tracker struct {
 	settings  Settings
 	instances map[string]*instanceState
 	loads     storeLoadBudget
@@ -27,34 +27,34 @@
 	limited map[string]bool
 }
 
-// NewBook returns a Book without instances.
-func NewBook(settings Settings) *Book {
-	return &Book{settings: settings, instances: map[string]*instanceState{}, demandForecast: map[string]*demandForecast{}, waitingTimes: map[string]waitingTimes{}, idleTrackers: map[string]*idleTracker{}, limited: map[string]bool{}}
+// NewTracker returns a Tracker without instances.
+func NewTracker(settings Settings) *Tracker {
+	return &Tracker{settings: settings, instances: map[string]*instanceState{}, demandForecast: map[string]*demandForecast{}, waitingTimes: map[string]waitingTimes{}, idleTrackers: map[string]*idleTracker{}, limited: map[string]bool{}}
 }
 
-// LeaveAlone records that an instance accepts no orders from this daemon until the given time.
-func (b *Book) LeaveAlone(id string, until time.Time) {
-	if state := b.instances[id]; state != nil {
+// BackOff records that an instance accepts no orders from this daemon until the given time.
+func (t *Tracker) BackOff(id string, until time.Time) {
+	if state := t.instances[id]; state != nil {
 		state.extendBackoff(until)
 	}
 }
 
 // SetLimited records whether an instance accepts only a few requests. Requested models must not
 // depend on such an instance, and it gets no further models.
-func (b *Book) SetLimited(id string, limited bool) {
+func (t *Tracker) SetLimited(id string, limited bool) {
 	if limited {
-		b.limited[id] = true
+		t.limited[id] = true
 	} else {
-		delete(b.limited, id)
+		delete(t.limited, id)
 	}
 }
 
-// Put adds an instance or updates a changed one.
-func (b *Book) Put(instance *fleet.Instance) {
-	state := b.instances[instance.ID]
+// UpsertInstance adds an instance or updates a changed one.
+func (t *Tracker) UpsertInstance(instance *fleet.Instance) {
+	state := t.instances[instance.ID]
 	if state == nil {
 		state = &instanceState{}
-		b.instances[instance.ID] = state
+		t.instances[instance.ID] = state
 	}
 	state.instance = instance
 	if state.reportAt.IsZero() {
@@ -62,16 +62,16 @@
 	}
 }
 
-// Remove removes an instance that no longer exists.
-func (b *Book) Remove(id string) {
-	delete(b.instances, id)
-	delete(b.limited, id)
+// RemoveInstance removes an instance that no longer exists.
+func (t *Tracker) RemoveInstance(id string) {
+	delete(t.instances, id)
+	delete(t.limited, id)
 }
 
 // Report merges a report of an instance that was requested at requestedAt and received now.
-func (b *Book) Report(requestedAt, now time.Time, id string, report fleet.Report) {
-	b.loads.recordSequence(now, id, report.Sequence)
-	state := b.instances[id]
+func (t *Tracker) Report(requestedAt, now time.Time, id string, report fleet.Report) {
+	t.loads.recordSequence(now, id, report.Sequence)
+	state := t.instances[id]
 	if state == nil || requestedAt.Before(state.reportAt) || report.Sequence < state.report.Sequence {
 		return
 	}
@@ -88,31 +88,31 @@
 		state.accepted = append(state.accepted, acceptedOrder{Order: *unresolved, sequence: unresolved.Expected + 1, at: state.unansweredAt})
 	}
 	state.accepted = slices.DeleteFunc(state.accepted, func(order acceptedOrder) bool {
-		return b.reflected(requestedAt, &report, order)
+		return t.reflected(requestedAt, &report, order)
 	})
 }
 
-// Unanswered records that an instance did not answer a report request.
-func (b *Book) Unanswered(requestedAt time.Time, id string) {
-	if state := b.instances[id]; state != nil && state.unresponsiveSince.IsZero() {
+// RecordUnanswered records that an instance did not answer a report request.
+func (t *Tracker) RecordUnanswered(requestedAt time.Time, id string) {
+	if state := t.instances[id]; state != nil && state.unresponsiveSince.IsZero() {
 		state.unresponsiveSince = requestedAt
 	}
 }
 
-// Resume discards the unanswered report requests from before this daemon began to send orders. It
+// DiscardUnanswered discards the unanswered report requests from before this daemon began to send orders. It
 // has requested no reports in between.
-func (b *Book) Resume() {
-	for _, state := range b.instances {
+func (t *Tracker) DiscardUnanswered() {
+	for _, state := range t.instances {
 		state.unresponsiveSince = time.Time{}
 	}
 }
 
 // reflected reports whether a report reflects an accepted order.
-func (b *Book) reflected(requestedAt time.Time, report *fleet.Report, order acceptedOrder) bool {
+func (t *Tracker) reflected(requestedAt time.Time, report *fleet.Report, order acceptedOrder) bool {
 	if report.Sequence < order.sequence {
 		return false
 	}
-	if requestedAt.Sub(order.at) > b.settings.Settle && !report.Busy {
+	if requestedAt.Sub(order.at) > t.settings.SettleTimeout && !report.Busy {
 		return true
 	}
 	if order.Adapter == "" {
@@ -130,33 +130,33 @@
 	return false
 }
 
-// Sending records that an order is being sent.
-func (b *Book) Sending(now time.Time, order Order) {
-	b.loads.sending(now, &order)
-	state := b.instances[order.Instance]
+// RecordSending records that an order is being sent.
+func (t *Tracker) RecordSending(now time.Time, order Order) {
+	t.loads.sending(now, &order)
+	state := t.instances[order.Instance]
 	if state == nil {
 		return
 	}
 	state.recordSwap(now, &order)
 	state.sending = &order
-	if order.RoomFor != "" {
-		state.reservedFor, state.reservedUntil = order.RoomFor, now.Add(b.settings.Reserve)
+	if order.ReservedFor != "" {
+		state.reservedFor, state.reservedUntil = order.ReservedFor, now.Add(t.settings.ReservationTTL)
 	}
 	if order.Load && order.Model == state.reservedFor {
 		state.reservedFor = ""
 	}
 }
 
-// Answered records the outcome of an order.
-func (b *Book) Answered(now time.Time, order Order, answer Answer) {
-	b.loads.recordAnswer(now, &order, answer, b.settings.Lateness)
-	state := b.instances[order.Instance]
+// RecordAnswer records the outcome of an order.
+func (t *Tracker) RecordAnswer(now time.Time, order Order, answer Answer) {
+	t.loads.recordAnswer(now, &order, answer, t.settings.MaxOrderDelay)
+	state := t.instances[order.Instance]
 	if state == nil {
 		return
 	}
 	state.sending = nil
 	switch answer {
-	case AnswerTaken:
+	case AnswerAccepted:
 		state.unanswered = nil
 		state.sequence = max(state.sequence, order.Expected+1)
 		state.accepted = append(state.accepted, acceptedOrder{Order: order, sequence: order.Expected + 1, at: now})
@@ -205,17 +205,17 @@
 	s.report.Residents = residents
 }
 
-// Resend returns the orders with an unknown outcome that are due to be sent again unchanged. It
+// DueResends returns the orders with an unknown outcome that are due to be sent again unchanged. It
 // skips instances in backoff, and unresponsive and crashed ones.
-func (b *Book) Resend(now time.Time) []Order {
+func (t *Tracker) DueResends(now time.Time) []Order {
 	var orders []Order
-	for _, state := range b.instances {
+	for _, state := range t.instances {
 		unresolved := state.unanswered
-		due := unresolved != nil && state.sending == nil && now.Sub(state.unansweredAt) >= b.settings.ResendAfter
-		if !due || now.Before(state.backoffUntil) || state.unresponsive(now, b.settings.SilentAfter) || state.crashed(now) {
+		due := unresolved != nil && state.sending == nil && now.Sub(state.unansweredAt) >= t.settings.ResendDelay
+		if !due || now.Before(state.backoffUntil) || state.unresponsive(now, t.settings.UnresponsiveAfter) || state.crashed(now) {
 			continue
 		}
-		if unresolved.FromStore && b.loads.expired(now, unresolved) {
+		if unresolved.FromStore && t.loads.expired(now, unresolved) {
 			// The order can no longer be executed. The next plan decides whether to issue a new
 			// one.
 			state.unanswered = nil
@@ -231,20 +231,20 @@
 
 // Residents returns the models and adapters that an instance serves according to its latest report,
 // without those that it was ordered to unload.
-func (b *Book) Residents(id string) []fleet.Resident {
-	state := b.instances[id]
+func (t *Tracker) Residents(id string) []fleet.Resident {
+	state := t.instances[id]
 	if state == nil {
 		return nil
 	}
 	unloading := state.unloading()
 	residents := make([]fleet.Resident, 0, len(state.report.Residents))
 	for _, resident := range state.report.Residents {
-		if unloading[fleet.AdapterOf{Model: resident.Model}] {
+		if unloading[fleet.AdapterRef{Model: resident.Model}] {
 			continue
 		}
 		kept := fleet.Resident{Model: resident.Model, Adapters: make([]string, 0, len(resident.Adapters))}
 		for _, adapter := range resident.Adapters {
-			if !unloading[fleet.AdapterOf{Model: resident.Model, Adapter: adapter}] {
+			if !unloading[fleet.AdapterRef{Model: resident.Model, Adapter: adapter}] {
 				kept.Adapters = append(kept.Adapters, adapter)
 			}
 		}
@@ -254,11 +254,11 @@
 }
 
 // unloading returns the models and adapters that are removed by orders that no report reflects yet.
-func (s *instanceState) unloading() map[fleet.AdapterOf]bool {
-	unloads := map[fleet.AdapterOf]bool{}
+func (s *instanceState) unloading() map[fleet.AdapterRef]bool {
+	unloads := map[fleet.AdapterRef]bool{}
 	for _, order := range s.pending() {
 		if !order.Load {
-			unloads[fleet.AdapterOf{Model: order.Model, Adapter: order.Adapter}] = true
+			unloads[fleet.AdapterRef{Model: order.Model, Adapter: order.Adapter}] = true
 		}
 	}
 	return unloads
--- a/residency/types.go
+++ b/residency/types.go
@@ -1,7 +1,7 @@
 // Package residency decides which models and adapters are resident on which model server instances,
 // and which load and unload orders are due. It does no I/O and reads no clock.
 //
-// A Book tracks the state of each instance: its latest report, the accepted orders that no report
+// A Tracker tracks the state of each instance: its latest report, the accepted orders that no report
 // reflects yet, and an order whose outcome is unknown. Memory counts as used until a report shows
 // that it is free. An order with an unknown outcome is resolved by a resend with the same expected
 // sequence number. The instance accepts at most one order for each sequence number, so it refuses a
@@ -26,8 +26,8 @@
 	Expected uint64
 	// FromStore means that the load counts against the rate limit of the weight store.
 	FromStore bool
-	// RoomFor is the model for which an unload frees memory, or empty.
-	RoomFor string
+	// ReservedFor is the model for which an unload frees memory, or empty.
+	ReservedFor string
 	// Reason explains the decision in the log.
 	Reason string
 }
@@ -37,8 +37,8 @@
 
 // Outcomes of an order.
 const (
-	// AnswerTaken means that the instance accepted the order and executes it.
-	AnswerTaken Answer = iota
+	// AnswerAccepted means that the instance accepted the order and executes it.
+	AnswerAccepted Answer = iota
 	// AnswerDone means that the instance is already in the ordered state.
 	AnswerDone
 	// AnswerBusy means that another order is in progress or that the expected sequence number does
@@ -81,87 +81,87 @@
 type Service struct {
 	Name   string
 	Engine *fleet.Engine
-	// Patience is the shortest client timeout for the first event on the stream routes of the
+	// ClientTimeout is the shortest client timeout for the first event on the stream routes of the
 	// service. It is zero if the service has no such route.
-	Patience time.Duration
+	ClientTimeout time.Duration
 }
 
 // Settings configures the planner.
 type Settings struct {
 	// Window is the time window in which loads from the weight store are counted.
 	Window time.Duration
-	// MaxComing bounds the number of adapters that load on one instance at the same time.
-	MaxComing int
-	// Reserve is how long memory that was freed for a model stays reserved for it.
-	Reserve time.Duration
-	// Settle is how long reports may take to reflect an accepted order.
-	Settle time.Duration
-	// ResendAfter is the delay before an order without an answer is sent again.
-	ResendAfter time.Duration
-	// Lateness is how long after it was sent an order without an answer may still be executed.
+	// MaxLoadingAdapters bounds the number of adapters that load on one instance at the same time.
+	MaxLoadingAdapters int
+	// ReservationTTL is how long memory that was freed for a model stays reserved for it.
+	ReservationTTL time.Duration
+	// SettleTimeout is how long reports may take to reflect an accepted order.
+	SettleTimeout time.Duration
+	// ResendDelay is the delay before an order without an answer is sent again.
+	ResendDelay time.Duration
+	// MaxOrderDelay is how long after it was sent an order without an answer may still be executed.
 	// Instances on the users' platform execute orders up to 12 s late.
-	Lateness time.Duration
+	MaxOrderDelay time.Duration
 	// LoadCost is the cost of a load from a local copy, in requests that the load must relieve. A
-	// load from the weight store costs twice as much. LoadSecondCost is the additional cost of each
+	// load from the weight store costs twice as much. SwapCostPerSecond is the additional cost of each
 	// second of a load that replaces another model.
-	LoadCost       float64
-	LoadSecondCost float64
+	LoadCost          float64
+	SwapCostPerSecond float64
 	// ReplicaLoad is the number of requests in progress on a replica at which one more replica is
 	// worth one request for each of them.
 	ReplicaLoad float64
-	// NextShare is the share of the requests for a model that is forecast for each of the NextReach
+	// SuccessorShare is the share of the requests for a model that is forecast for each of the SuccessorCount
 	// models after it in the operator's list.
-	NextShare float64
-	NextReach int
-	// PriorPerReplica is the demand that each replica beyond the first represents at startup.
-	// PriorHalfLife is the half-life of that prior demand. NextPrior is the multiple of it that is
+	SuccessorShare float64
+	SuccessorCount int
+	// PriorDemandPerReplica is the demand that each replica beyond the first represents at startup.
+	// PriorHalfLife is the half-life of that prior demand. SuccessorPriorFactor is the multiple of it that is
 	// forecast for the models that follow: models with many initial replicas may run much faster
 	// than those.
-	PriorPerReplica float64
-	PriorHalfLife   time.Duration
-	NextPrior       float64
+	PriorDemandPerReplica float64
+	PriorHalfLife         time.Duration
+	SuccessorPriorFactor  float64
 	// UnloadFactor is the minimum ratio of the gain of an eviction to the loss of the evicted
 	// model.
 	UnloadFactor float64
-	// ReachWorth is the value of a first reachable replica for a model without requests, in delayed
+	// ReachValue is the value of a first reachable replica for a model without requests, in delayed
 	// requests. Each request that waits for the model adds as much again, and more with each second
 	// of its wait.
-	ReachWorth float64
-	// PressingGain is the minimum gain at which a further replica of a requested model takes
+	ReachValue float64
+	// MinPrecedenceGain is the minimum gain at which a further replica of a requested model takes
 	// precedence over a first replica of a model without requests.
-	PressingGain float64
-	// SilentAfter is how long an instance may leave report requests unanswered before its models
+	MinPrecedenceGain float64
+	// UnresponsiveAfter is how long an instance may leave report requests unanswered before its models
 	// get a replica elsewhere, if no other instance holds them.
-	SilentAfter time.Duration
-	// QuietAfter is the same limit for models that are not ready yet. It is shorter than the
+	UnresponsiveAfter time.Duration
+	// SuspectAfter is the same limit for models that are not ready yet. It is shorter than the
 	// interval between two report requests, since such a model serves no requests and waiting for
 	// it gains less.
-	QuietAfter time.Duration
+	SuspectAfter time.Duration
 }
 
 // DefaultSettings returns the settings that apply unless an operator changes them.
 func DefaultSettings() Settings {
 	return Settings{
-		Window:         5 * time.Second,
-		MaxComing:      4,
-		Reserve:        6 * time.Second,
-		Settle:         3 * time.Second,
-		ResendAfter:    300 * time.Millisecond,
-		Lateness:       12 * time.Second,
-		LoadCost:       0.15,
-		LoadSecondCost: 0.3,
-		ReplicaLoad:    8,
-		NextShare:      0.8,
-		NextReach:      2,
+		Window:             5 * time.Second,
+		MaxLoadingAdapters: 4,
+		ReservationTTL:     6 * time.Second,
+		SettleTimeout:      3 * time.Second,
+		ResendDelay:        300 * time.Millisecond,
+		MaxOrderDelay:      12 * time.Second,
+		LoadCost:           0.15,
+		SwapCostPerSecond:  0.3,
+		ReplicaLoad:        8,
+		SuccessorShare:     0.8,
+		SuccessorCount:     2,
 
-		PriorPerReplica: 2,
-		PriorHalfLife:   10 * time.Second,
-		NextPrior:       3,
-		UnloadFactor:    8,
-		ReachWorth:      40,
-		PressingGain:    8,
-		SilentAfter:     2500 * time.Millisecond,
-		QuietAfter:      800 * time.Millisecond,
+		PriorDemandPerReplica: 2,
+		PriorHalfLife:         10 * time.Second,
+		SuccessorPriorFactor:  3,
+		UnloadFactor:          8,
+		ReachValue:            40,
+		MinPrecedenceGain:     8,
+		UnresponsiveAfter:     2500 * time.Millisecond,
+		SuspectAfter:          800 * time.Millisecond,
 	}
 }
 
--- a/residency/unparking_test.go
+++ b/residency/unparking_test.go
@@ -20,8 +20,8 @@
 	f.requestRate[modelName(0)] = 30
 	f.requestRate[modelName(1)], f.requestRate[modelName(2)] = 0.5, 0.5
 	f.run(10*time.Second, nil)
-	if f.tracker.Parked() < 2 {
-		t.Fatalf("%d models are parked after %v", f.tracker.Parked(), f.orders)
+	if f.tracker.ParkedCount() < 2 {
+		t.Fatalf("%d models are parked after %v", f.tracker.ParkedCount(), f.orders)
 	}
 	return f
 }
@@ -86,7 +86,7 @@
 			lost := time.Duration(-1)
 			start := f.now
 			f.beforeSend = func(order residency.Order) {
-				if order.RoomFor == model && lost < 0 {
+				if order.ReservedFor == model && lost < 0 {
 					lost = f.now.Sub(start)
 					f.takeOver(gap)
 				}
@@ -109,7 +109,7 @@
 			f := parkedSimulation(t)
 			model := f.parked(t)
 			f.beforeSend = func(order residency.Order) {
-				forModel := order.RoomFor == model || order.Load && order.Model == model
+				forModel := order.ReservedFor == model || order.Load && order.Model == model
 				if forModel && order.Load == load && len(f.hanging) == 0 {
 					f.hanging[order.Instance] = true
 				}
@@ -185,7 +185,7 @@
 	before := len(f.orders)
 	f.run(10*time.Second, nil)
 	for _, order := range f.orders[before:] {
-		if order.RoomFor == parked || order.Model == parked {
+		if order.ReservedFor == parked || order.Model == parked {
 			t.Errorf("order %+v", order)
 		}
 	}
@@ -208,8 +208,8 @@
 	f.instances = append(f.instances, newParkingSimulation(0, make([][]int, 12)...).instances[4:]...)
 	f.registerInstances()
 	f.run(20*time.Second, nil)
-	if f.ready(parked) == 0 || f.tracker.Parked() > 0 {
-		t.Errorf("%d models are parked although memory is free", f.tracker.Parked())
+	if f.ready(parked) == 0 || f.tracker.ParkedCount() > 0 {
+		t.Errorf("%d models are parked although memory is free", f.tracker.ParkedCount())
 	}
 	for _, order := range f.orders[before:] {
 		if !order.Load {
--- a/residency/waiting.go
+++ b/residency/waiting.go
@@ -13,11 +13,11 @@
 // waitingTimes holds, for each model, since when requests have been waiting for it.
 type waitingTimes map[string]time.Time
 
-func (b *Book) waitingTimesOf(service string) waitingTimes {
-	times := b.waitingTimes[service]
+func (t *Tracker) waitingTimesOf(service string) waitingTimes {
+	times := t.waitingTimes[service]
 	if times == nil {
 		times = waitingTimes{}
-		b.waitingTimes[service] = times
+		t.waitingTimes[service] = times
 	}
 	return times
 }
--- a/resumption/doc.go
+++ b/resumption/doc.go
@@ -7,7 +7,7 @@
 // the stream's ID. A daemon at which a client resumes a stream queries the daemons that may have received its version. If
 // none of them has it, the stream resumes only if the service has had a single version for as long as a client may wait.
 //
-// A Keeper does no I/O and reads no clock. It is safe for concurrent use.
+// A Tracker does no I/O and reads no clock. It is safe for concurrent use.
 package resumption
 
 import "time"
@@ -55,8 +55,8 @@
 	Fresh    bool     `msgpack:"f,omitempty"`
 }
 
-// Tell is the update to send to one daemon.
-type Tell struct {
+// Update is the update to send to one daemon.
+type Update struct {
 	Daemon  string
 	Streams []Stream
 }
--- a/resumption/simulation_test.go
+++ b/resumption/simulation_test.go
@@ -25,7 +25,7 @@
 type simulatedDaemon struct {
 	name        string
 	zone        string
-	tracker     *Keeper
+	tracker     *Tracker
 	incarnation int
 	up          bool
 	isolated    bool
@@ -98,8 +98,8 @@
 
 // start starts a daemon with empty state.
 func (s *simulation) start(d *simulatedDaemon) {
-	d.tracker, d.up, d.lastFault, d.startedAt = NewKeeper(), true, s.now, s.now
-	d.tracker.SetSpan(versionWindow)
+	d.tracker, d.up, d.lastFault, d.startedAt = NewTracker(), true, s.now, s.now
+	d.tracker.SetVersionWindow(versionWindow)
 	d.present = s.versions
 	d.incarnation++
 }
@@ -118,7 +118,7 @@
 	}
 	d.tracker.SetDaemons(others)
 	if !d.isolated {
-		d.tracker.SetFresh(s.now)
+		d.tracker.MarkSynced(s.now)
 		versions := s.versions
 		s.after(time.Duration(s.random.IntN(300))*time.Millisecond, func() {
 			if d.incarnation == incarnation && !d.isolated {
@@ -142,9 +142,9 @@
 	})
 }
 
-func (s *simulation) sendUpdates(from *simulatedDaemon, updates []Tell) {
+func (s *simulation) sendUpdates(from *simulatedDaemon, updates []Update) {
 	for _, update := range updates {
-		s.send(from, update.Daemon, func(d *simulatedDaemon) { d.tracker.Take(s.now, update.Streams) })
+		s.send(from, update.Daemon, func(d *simulatedDaemon) { d.tracker.Merge(s.now, update.Streams) })
 	}
 }
 
@@ -156,7 +156,7 @@
 	}
 	s.streams++
 	id, software, incarnation := fmt.Sprint("s", s.streams), d.present[s.random.IntN(len(d.present))], d.incarnation
-	s.sendUpdates(d, d.tracker.Began(s.now, Stream{ID: id, Service: "svc", Software: software, Left: versionWindow / 2}))
+	s.sendUpdates(d, d.tracker.RecordStream(s.now, Stream{ID: id, Service: "svc", Software: software, Left: versionWindow / 2}))
 	duration := time.Duration(200+s.random.IntN(3000)) * time.Millisecond
 	interrupted := s.random.IntN(10) == 0
 	s.after(duration, func() {
@@ -178,7 +178,7 @@
 		return
 	}
 	var answers []*Answer
-	names := d.tracker.Asked(id)
+	names := d.tracker.QueryTargets(id)
 	for _, name := range names {
 		s.send(d, name, func(other *simulatedDaemon) {
 			answer := other.tracker.Answer(s.now, &Question{Stream: id, Service: "svc"})
@@ -208,7 +208,7 @@
 	if software != wantSoftware {
 		s.mixedVersions++
 	}
-	s.sendUpdates(d, d.tracker.Began(s.now, Stream{ID: id, Service: "svc", Software: software, Left: versionWindow / 2}))
+	s.sendUpdates(d, d.tracker.RecordStream(s.now, Stream{ID: id, Service: "svc", Software: software, Left: versionWindow / 2}))
 	s.countAttempt(d, wantSoftware, true)
 }
 
--- a/resumption/tracker.go
+++ b/resumption/tracker.go
@@ -24,8 +24,8 @@
 	Zone string
 }
 
-// Keeper tracks, for one daemon, which versions began streams and which versions each service has.
-type Keeper struct {
+// Tracker tracks, for one daemon, which versions began streams and which versions each service has.
+type Tracker struct {
 	mutex   sync.Mutex
 	streams streamIndex
 	// services holds the versions of each service. A version counts for versionWindow after it was last seen.
@@ -37,13 +37,13 @@
 	freshUntil time.Time
 }
 
-// NewKeeper returns an empty Keeper.
-func NewKeeper() *Keeper {
-	return &Keeper{streams: streamIndex{}, services: map[string]versions{}, zones: map[string]string{}}
+// NewTracker returns an empty Tracker.
+func NewTracker() *Tracker {
+	return &Tracker{streams: streamIndex{}, services: map[string]versions{}, zones: map[string]string{}}
 }
 
 // SetDaemons replaces the set of other live daemons.
-func (t *Keeper) SetDaemons(others []Daemon) {
+func (t *Tracker) SetDaemons(others []Daemon) {
 	names, zones := make([]string, 0, len(others)), make(map[string]string, len(others))
 	for _, other := range others {
 		names = append(names, other.Name)
@@ -55,16 +55,16 @@
 	t.others, t.zones = set, zones
 }
 
-// SetFresh records that this daemon currently receives updates about new instances. It must be called repeatedly, so that
+// MarkSynced records that this daemon currently receives updates about new instances. It must be called repeatedly, so that
 // a daemon whose process was frozen does not count as up to date.
-func (t *Keeper) SetFresh(now time.Time) {
+func (t *Tracker) MarkSynced(now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.freshUntil = now.Add(freshWindow)
 }
 
-// SetSpan sets how long after a version was last seen its streams may still be resumed.
-func (t *Keeper) SetSpan(versionWindow time.Duration) {
+// SetVersionWindow sets how long after a version was last seen its streams may still be resumed.
+func (t *Tracker) SetVersionWindow(versionWindow time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.versionWindow = versionWindow
@@ -72,13 +72,13 @@
 
 // Observe records the versions of a service that are present now. When the service first has several versions, it returns
 // the updates to send to other daemons.
-func (t *Keeper) Observe(now time.Time, service string, present []string) []Tell {
+func (t *Tracker) Observe(now time.Time, service string, present []string) []Update {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.observe(now, service, present)
 }
 
-func (t *Keeper) observe(now time.Time, service string, present []string) []Tell {
+func (t *Tracker) observe(now time.Time, service string, present []string) []Update {
 	seen := t.services[service]
 	if seen == nil {
 		seen = versions{}
@@ -95,8 +95,8 @@
 	return t.groupByDaemon(t.streams.ownStreams(now, service))
 }
 
-// Began records a stream that this daemon begins or resumes. It returns the updates to send to other daemons.
-func (t *Keeper) Began(now time.Time, stream Stream) []Tell {
+// RecordStream records a stream that this daemon begins or resumes. It returns the updates to send to other daemons.
+func (t *Tracker) RecordStream(now time.Time, stream Stream) []Update {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.streams.merge(now, &stream, true)
@@ -108,22 +108,22 @@
 }
 
 // groupByDaemon groups streams by the daemons that are to record them.
-func (t *Keeper) groupByDaemon(streams []Stream) []Tell {
+func (t *Tracker) groupByDaemon(streams []Stream) []Update {
 	byDaemon := map[string][]Stream{}
 	for _, stream := range streams {
 		for _, name := range t.holdersOf(stream.ID) {
 			byDaemon[name] = append(byDaemon[name], stream)
 		}
 	}
-	updates := make([]Tell, 0, len(byDaemon))
+	updates := make([]Update, 0, len(byDaemon))
 	for name, assigned := range byDaemon {
-		updates = append(updates, Tell{Daemon: name, Streams: assigned})
+		updates = append(updates, Update{Daemon: name, Streams: assigned})
 	}
 	return updates
 }
 
 // holdersOf returns the daemons that are to record a stream.
-func (t *Keeper) holdersOf(id string) []string {
+func (t *Tracker) holdersOf(id string) []string {
 	ranked := t.others.Top(id, t.others.Len())
 	if len(ranked) <= holdersPerStream {
 		return ranked
@@ -138,8 +138,8 @@
 	return []string{ranked[0], second}
 }
 
-// Take merges streams reported by another daemon.
-func (t *Keeper) Take(now time.Time, streams []Stream) {
+// Merge merges streams reported by another daemon.
+func (t *Tracker) Merge(now time.Time, streams []Stream) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for i := range streams {
@@ -148,14 +148,14 @@
 }
 
 // Find returns what began a stream, if this daemon has a record of it.
-func (t *Keeper) Find(now time.Time, id string) (began Began, known bool) {
+func (t *Tracker) Find(now time.Time, id string) (began Began, known bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.streams.find(now, id)
 }
 
-// Asked returns the daemons to query about a stream, or none if no daemon records streams with such an ID.
-func (t *Keeper) Asked(id string) []string {
+// QueryTargets returns the daemons to query about a stream, or none if no daemon records streams with such an ID.
+func (t *Tracker) QueryTargets(id string) []string {
 	if id == "" || len(id) > maxIDBytes {
 		return nil
 	}
@@ -171,7 +171,7 @@
 }
 
 // Answer returns the response to another daemon's question.
-func (t *Keeper) Answer(now time.Time, question *Question) *Answer {
+func (t *Tracker) Answer(now time.Time, question *Question) *Answer {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	began, known := t.streams.find(now, question.Stream)
@@ -185,7 +185,7 @@
 // show a single version of the service for as long as a client may wait. It also requires that one of these daemons
 // currently receives updates about new instances. If the client does not name the stream (named is false), this
 // requirement does not apply: the decision then rests on the versions that this daemon has seen.
-func (t *Keeper) Decide(now time.Time, service string, named bool, answers []*Answer) (software string, known bool) {
+func (t *Tracker) Decide(now time.Time, service string, named bool, answers []*Answer) (software string, known bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	seen := t.services[service]
@@ -206,8 +206,8 @@
 	return software, fresh
 }
 
-// Forget removes expired streams and versions.
-func (t *Keeper) Forget(now time.Time) {
+// Prune removes expired streams and versions.
+func (t *Tracker) Prune(now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.streams.prune(now)
@@ -216,21 +216,21 @@
 	}
 }
 
-// Counts are the sizes of a Keeper's state.
+// Counts are the sizes of a Tracker's state.
 type Counts struct {
 	// Streams is the number of recorded streams, Mixed the number of services with several versions.
-	Streams int
-	Mixed   int
+	Streams       int
+	MixedServices int
 }
 
 // Counts returns the current sizes of the state.
-func (t *Keeper) Counts() Counts {
+func (t *Tracker) Counts() Counts {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	counts := Counts{Streams: len(t.streams)}
 	for _, seen := range t.services {
 		if len(seen) > 1 {
-			counts.Mixed++
+			counts.MixedServices++
 		}
 	}
 	return counts
--- a/resumption/tracker_test.go
+++ b/resumption/tracker_test.go
@@ -38,11 +38,11 @@
 		{"instances that report no version", []string{""}, true, true, nil, true},
 	}
 	for _, c := range cases {
-		tracker := NewKeeper()
-		tracker.SetSpan(time.Minute)
+		tracker := NewTracker()
+		tracker.SetVersionWindow(time.Minute)
 		tracker.Observe(testStart, "svc", c.present)
 		if c.fresh {
-			tracker.SetFresh(testStart)
+			tracker.MarkSynced(testStart)
 		}
 		if software, known := tracker.Decide(testStart, "svc", c.named, c.answers); known != c.known || known && software != c.present[0] {
 			t.Errorf("%s: %q, known %v", c.name, software, known)
@@ -52,33 +52,33 @@
 
 // TestVersionsCountForAWhile guards against removing a version while the streams that it began may still be resumed.
 func TestVersionsCountForAWhile(t *testing.T) {
-	tracker := NewKeeper()
-	tracker.SetSpan(30 * time.Second)
+	tracker := NewTracker()
+	tracker.SetVersionWindow(30 * time.Second)
 	tracker.Observe(testStart, "svc", []string{"v1"})
 	now := testStart.Add(29 * time.Second)
 	tracker.Observe(now, "svc", []string{"v2"})
-	tracker.SetFresh(now)
+	tracker.MarkSynced(now)
 	if _, known := tracker.Decide(now, "svc", true, nil); known {
 		t.Error("the previous version was removed while its streams may still be resumed")
 	}
 	now = now.Add(31 * time.Second)
 	tracker.Observe(now, "svc", []string{"v2"})
-	tracker.SetFresh(now)
+	tracker.MarkSynced(now)
 	if software, known := tracker.Decide(now, "svc", true, nil); !known || software != "v2" {
 		t.Errorf("%q, known %v", software, known)
 	}
 	// The version seen most recently is kept however long ago it was seen.
-	if counts := tracker.Counts(); counts.Mixed != 0 {
+	if counts := tracker.Counts(); counts.MixedServices != 0 {
 		t.Errorf("%+v", counts)
 	}
 }
 
 // TestFrozenDaemonIsNotFresh guards against a daemon that decides by state from before its process was frozen.
 func TestFrozenDaemonIsNotFresh(t *testing.T) {
-	tracker := NewKeeper()
-	tracker.SetSpan(time.Minute)
+	tracker := NewTracker()
+	tracker.SetVersionWindow(time.Minute)
 	tracker.Observe(testStart, "svc", []string{"v1"})
-	tracker.SetFresh(testStart)
+	tracker.MarkSynced(testStart)
 	if _, known := tracker.Decide(testStart.Add(5*time.Second), "svc", true, nil); known {
 		t.Error("a daemon whose process was frozen decided")
 	}
@@ -87,15 +87,15 @@
 // TestSecondVersionTellsOfStreamsBefore guards against streams that began before the second version appeared and that no
 // other daemon has recorded.
 func TestSecondVersionTellsOfStreamsBefore(t *testing.T) {
-	tracker := NewKeeper()
-	tracker.SetSpan(time.Minute)
+	tracker := NewTracker()
+	tracker.SetVersionWindow(time.Minute)
 	tracker.SetDaemons([]Daemon{{"a", "z1"}, {"b", "z1"}, {"c", "z2"}})
-	if updates := tracker.Began(testStart, stream("s1", "v1")); updates != nil {
+	if updates := tracker.RecordStream(testStart, stream("s1", "v1")); updates != nil {
 		t.Errorf("updates %+v while there is one version", updates)
 	}
-	tracker.Take(testStart, []Stream{stream("of another daemon", "v1")})
+	tracker.Merge(testStart, []Stream{stream("of another daemon", "v1")})
 	sent := map[string]int{}
-	for _, update := range tracker.Began(testStart, stream("s2", "v2")) {
+	for _, update := range tracker.RecordStream(testStart, stream("s2", "v2")) {
 		for _, s := range update.Streams {
 			sent[s.ID]++
 		}
@@ -103,26 +103,26 @@
 	if sent["s1"] != holdersPerStream || sent["s2"] != holdersPerStream || len(sent) != 2 {
 		t.Errorf("streams in updates: %v", sent)
 	}
-	if updates := tracker.Began(testStart, stream("s3", "v1")); len(updates) != holdersPerStream || tracker.zones[updates[0].Daemon] == tracker.zones[updates[1].Daemon] {
+	if updates := tracker.RecordStream(testStart, stream("s3", "v1")); len(updates) != holdersPerStream || tracker.zones[updates[0].Daemon] == tracker.zones[updates[1].Daemon] {
 		t.Errorf("updates %+v", updates)
 	}
 }
 
 // TestBookKeepsItsBounds guards against streams that never expire and against invalid IDs, which clients choose.
 func TestBookKeepsItsBounds(t *testing.T) {
-	tracker := NewKeeper()
-	tracker.Take(testStart, []Stream{stream("", "v1"), stream(string(make([]byte, maxIDBytes+1)), "v1"), {ID: "over", Service: "svc", Left: 0}})
+	tracker := NewTracker()
+	tracker.Merge(testStart, []Stream{stream("", "v1"), stream(string(make([]byte, maxIDBytes+1)), "v1"), {ID: "over", Service: "svc", Left: 0}})
 	if counts := tracker.Counts(); counts.Streams != 0 {
 		t.Errorf("%d invalid streams recorded", counts.Streams)
 	}
-	tracker.Take(testStart, []Stream{stream("twice", "v1"), stream("twice", "v2"), stream("s", "v1")})
+	tracker.Merge(testStart, []Stream{stream("twice", "v1"), stream("twice", "v2"), stream("s", "v1")})
 	if _, known := tracker.Find(testStart, "twice"); known {
 		t.Error("a stream reported with two versions is found")
 	}
 	if began, known := tracker.Find(testStart, "s"); !known || began != (Began{Service: "svc", Software: "v1"}) {
 		t.Errorf("%+v, known %v", began, known)
 	}
-	tracker.Forget(testStart.Add(time.Minute))
+	tracker.Prune(testStart.Add(time.Minute))
 	if counts := tracker.Counts(); counts.Streams != 0 {
 		t.Errorf("%d streams left after they expired", counts.Streams)
 	}
@@ -132,8 +132,8 @@
 func BenchmarkBegan(b *testing.B) {
 	for _, count := range []int{30, 100, 300, 985} {
 		b.Run(strconv.Itoa(count), func(b *testing.B) {
-			tracker := NewKeeper()
-			tracker.SetSpan(time.Minute)
+			tracker := NewTracker()
+			tracker.SetVersionWindow(time.Minute)
 			var others []Daemon
 			for number := range count {
 				others = append(others, Daemon{string(rune('a'+number%26)) + string(rune('a'+number/26)), string(rune('a' + number%3))})
@@ -143,7 +143,7 @@
 			number := 0
 			for b.Loop() {
 				number++
-				tracker.Began(testStart, stream(string(rune('a'+number%1000)), "v1"))
+				tracker.RecordStream(testStart, stream(string(rune('a'+number%1000)), "v1"))
 			}
 		})
 	}
--- a/ring/ring.go
+++ b/ring/ring.go
@@ -21,8 +21,8 @@
 	return &Ring[T]{items: make(chan T, capacity)}
 }
 
-// Offer adds an item without waiting. It returns false when the ring is full.
-func (r *Ring[T]) Offer(item T) bool {
+// TryPut adds an item without waiting. It returns false when the ring is full.
+func (r *Ring[T]) TryPut(item T) bool {
 	select {
 	case r.items <- item:
 		return true
--- a/route/load.go
+++ b/route/load.go
@@ -30,13 +30,13 @@
 // detects that the back end is down.
 const failureTTL = 2 * time.Second
 
-// NoteResult records the result of an attempt at the back end. A back end that sent
+// RecordResult records the result of an attempt at the back end. A back end that sent
 // no byte of an answer ranks below one that refused the request: the latter responds
 // and may accept other requests.
-func (l *Load) NoteResult(now time.Time, result outcome.Result) {
+func (l *Load) RecordResult(now time.Time, result outcome.Result) {
 	switch {
 	case result.Reason == outcome.ReasonRefused:
-		l.Refused(now)
+		l.RecordRefusal(now)
 		l.unreachableAt.Store(0)
 	case result.Reason == outcome.ReasonCallerGone:
 	case result.Kind == outcome.Answered || result.Status != 0:
@@ -46,8 +46,8 @@
 	}
 }
 
-// Refused records that the back end refused a request.
-func (l *Load) Refused(now time.Time) { l.refusedAt.Store(now.UnixNano()) }
+// RecordRefusal records that the back end refused a request.
+func (l *Load) RecordRefusal(now time.Time) { l.refusedAt.Store(now.UnixNano()) }
 
 // attemptStatus is the status of a back end according to this daemon's recent
 // attempts; a higher value is better.
@@ -96,9 +96,9 @@
 // defaultSlots is assumed for a back end that has not reported.
 const defaultSlots = 16
 
-// Expected returns the expected number of requests at the back end: those of this
+// ExpectedRequests returns the expected number of requests at the back end: those of this
 // daemon, plus those of other daemons with exponential decay by the half-life.
-func (l *Load) Expected(now time.Time, halfLife time.Duration) float64 {
+func (l *Load) ExpectedRequests(now time.Time, halfLife time.Duration) float64 {
 	own := float64(l.inFlight.Load())
 	remoteInFlight := l.remoteInFlight.Load()
 	if remoteInFlight == 0 {
--- a/route/picker.go
+++ b/route/picker.go
@@ -23,7 +23,7 @@
 		[]Scorer{
 			LoadScorer{HalfLife: 4 * time.Second},
 			PrefixScorer{Index: index, Bonus: 0.5},
-			PlaceScorer{ZoneCost: 0.1, RegionCost: 0.5},
+			LocalityScorer{ZoneCost: 0.1, RegionCost: 0.5},
 			StateScorer{OldVersionCost: 1, DrainingCost: 1},
 		},
 	)
