--- a/route/route_test.go
+++ b/route/route_test.go
@@ -80,57 +80,57 @@
 			request.Exclude(b.BackEnd.Load)
 		}, "a"},
 		{"back end that recently refused is the last resort", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
-			a.BackEnd.Load.Refused(now)
+			a.BackEnd.Load.RecordRefusal(now)
 			b.BackEnd.Load.SetReport(900, 10, now)
 		}, "b"},
 		{"full replica is preferred to one that may still be loading", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
 			a.Observed = false
-			b.BackEnd.Load.Refused(now)
+			b.BackEnd.Load.RecordRefusal(now)
 			b.BackEnd.Load.SetReport(900, 10, now)
 		}, "b"},
 		{"refusal expires", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
-			a.BackEnd.Load.Refused(now.Add(-time.Minute))
+			a.BackEnd.Load.RecordRefusal(now.Add(-time.Minute))
 			b.BackEnd.Load.SetReport(9, 10, now)
 		}, "a"},
 		{"unreachable back end ranks below one that refused", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
-			a.BackEnd.Load.NoteResult(now, unreachable)
-			b.BackEnd.Load.NoteResult(now, refused)
+			a.BackEnd.Load.RecordResult(now, unreachable)
+			b.BackEnd.Load.RecordResult(now, refused)
 			b.BackEnd.Load.SetReport(40, 10, now)
 		}, "b"},
 		{"back end that broke the connection before its answer began is avoided", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
-			a.BackEnd.Load.NoteResult(now, connectionBroken)
+			a.BackEnd.Load.RecordResult(now, connectionBroken)
 			b.BackEnd.Load.SetReport(40, 10, now)
 		}, "b"},
 		{"unreachable back end is preferred to one that may still be loading", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
 			a.Observed = false
-			b.BackEnd.Load.NoteResult(now, unreachable)
+			b.BackEnd.Load.RecordResult(now, unreachable)
 		}, "b"},
 		{"answer ends the unreachable status", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
-			a.BackEnd.Load.NoteResult(now, unreachable)
-			a.BackEnd.Load.NoteResult(now, answered)
+			a.BackEnd.Load.RecordResult(now, unreachable)
+			a.BackEnd.Load.RecordResult(now, answered)
 			b.BackEnd.Load.SetReport(40, 10, now)
 		}, "a"},
 		{"refusal ends the unreachable status", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
-			a.BackEnd.Load.NoteResult(now, unreachable)
-			a.BackEnd.Load.NoteResult(now, refused)
-			b.BackEnd.Load.NoteResult(now, unreachable)
+			a.BackEnd.Load.RecordResult(now, unreachable)
+			a.BackEnd.Load.RecordResult(now, refused)
+			b.BackEnd.Load.RecordResult(now, unreachable)
 			a.BackEnd.Load.SetReport(40, 10, now)
 		}, "a"},
 		{"answer does not reset a refusal", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
-			a.BackEnd.Load.NoteResult(now, refused)
-			a.BackEnd.Load.NoteResult(now, answered)
+			a.BackEnd.Load.RecordResult(now, refused)
+			a.BackEnd.Load.RecordResult(now, answered)
 			b.BackEnd.Load.SetReport(40, 10, now)
 		}, "b"},
 		{"error response does not count as unreachable", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
-			a.BackEnd.Load.NoteResult(now, serverError)
+			a.BackEnd.Load.RecordResult(now, serverError)
 			b.BackEnd.Load.SetReport(9, 10, now)
 		}, "a"},
 		{"disconnect of the caller does not count against the back end", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
-			a.BackEnd.Load.NoteResult(now, callerGone)
+			a.BackEnd.Load.RecordResult(now, callerGone)
 			b.BackEnd.Load.SetReport(9, 10, now)
 		}, "a"},
 		{"unreachable status expires", func(a, b *route.Candidate, _ *route.Request, _ *route.PrefixIndex) {
-			a.BackEnd.Load.NoteResult(now.Add(-time.Minute), unreachable)
+			a.BackEnd.Load.RecordResult(now.Add(-time.Minute), unreachable)
 			b.BackEnd.Load.SetReport(9, 10, now)
 		}, "a"},
 		{"all candidates are excluded", func(a, b *route.Candidate, request *route.Request, _ *route.PrefixIndex) {
@@ -178,7 +178,7 @@
 			machines[1].Load.Begin()
 			for index, results := range [][]outcome.Result{c.a, c.b} {
 				for _, result := range results {
-					machines[index].Load.NoteResult(now, result)
+					machines[index].Load.RecordResult(now, result)
 				}
 			}
 			if picked := route.PickMachine(now, &route.Service{Machines: machines}, &route.Request{}); picked.Name != c.want {
--- a/route/scorer.go
+++ b/route/scorer.go
@@ -17,7 +17,7 @@
 // Score implements Scorer.
 func (s LoadScorer) Score(now time.Time, _ *Request, candidate *Candidate) float64 {
 	load := candidate.BackEnd.Load
-	return load.Expected(now, s.HalfLife) / float64(load.Slots())
+	return load.ExpectedRequests(now, s.HalfLife) / float64(load.Slots())
 }
 
 // PrefixScorer favours back ends that recently received the longest matching prefix.
@@ -36,15 +36,15 @@
 	return -s.Bonus * float64(matched) / float64(request.Prefix.Count)
 }
 
-// PlaceScorer adds a cost for candidates in another zone, and another for those in
+// LocalityScorer adds a cost for candidates in another zone, and another for those in
 // another region.
-type PlaceScorer struct {
+type LocalityScorer struct {
 	ZoneCost   float64
 	RegionCost float64
 }
 
 // Score implements Scorer.
-func (s PlaceScorer) Score(_ time.Time, request *Request, candidate *Candidate) float64 {
+func (s LocalityScorer) Score(_ time.Time, request *Request, candidate *Candidate) float64 {
 	cost := 0.0
 	if request.Zone != candidate.BackEnd.Zone {
 		cost += s.ZoneCost
--- a/tenant/tenant.go
+++ b/tenant/tenant.go
@@ -105,28 +105,28 @@
 	}
 }
 
-// Of returns the tenant that owns a key, or nil.
-func (t *Table) Of(key Digest) *Tenant {
+// ByKey returns the tenant that owns a key, or nil.
+func (t *Table) ByKey(key Digest) *Tenant {
 	if t == nil {
 		return nil
 	}
 	return t.byKey[key]
 }
 
-// Named returns the tenant with the given name, or nil.
-func (t *Table) Named(name string) *Tenant {
+// ByName returns the tenant with the given name, or nil.
+func (t *Table) ByName(name string) *Tenant {
 	if t == nil {
 		return nil
 	}
 	return t.byName[name]
 }
 
-// Any reports whether the table has any tenants.
-func (t *Table) Any() bool { return t != nil && len(t.byName) > 0 }
+// HasTenants reports whether the table has any tenants.
+func (t *Table) HasTenants() bool { return t != nil && len(t.byName) > 0 }
 
 // Rate returns the limit of the tenant with the given name, if there is one.
 func (t *Table) Rate(name string) (limit quota.Limit, known bool) {
-	found := t.Named(name)
+	found := t.ByName(name)
 	if found == nil {
 		return quota.Limit{}, false
 	}
--- a/tenant/tenant_test.go
+++ b/tenant/tenant_test.go
@@ -34,7 +34,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if got := nameOf(table.Of(DigestOf(c.key))); got != c.want {
+			if got := nameOf(table.ByKey(DigestOf(c.key))); got != c.want {
 				t.Errorf("tenant %q, want %q", got, c.want)
 			}
 		})
@@ -42,7 +42,7 @@
 	if shared := table.Shared(); len(shared) != 1 || shared[0] != "b" {
 		t.Errorf("tenants with a key of an earlier tenant: %v, want [b]", shared)
 	}
-	if found := (*Table)(nil).Of(DigestOf("one")); found != nil {
+	if found := (*Table)(nil).ByKey(DigestOf("one")); found != nil {
 		t.Errorf("a nil table returns %v", found)
 	}
 }
@@ -85,7 +85,7 @@
 	key := fmt.Sprintf("key-%016x", 4711)
 	found := 0
 	allocations := testing.AllocsPerRun(100, func() {
-		if table.Of(DigestOf(key)) != nil {
+		if table.ByKey(DigestOf(key)) != nil {
 			found++
 		}
 	})
@@ -102,7 +102,7 @@
 			key := fmt.Sprintf("key-%016x", keys/2)
 			b.ReportAllocs()
 			for b.Loop() {
-				if table.Of(DigestOf(key)) == nil {
+				if table.ByKey(DigestOf(key)) == nil {
 					b.Fatal("no tenant found for the key")
 				}
 			}
