--- a/admit/gate.go
+++ b/admit/gate.go
@@ -20,7 +20,7 @@
 }
 
 // Acquire waits until the request is admitted. It returns true if so, and the
-// caller must then call Exit once. Otherwise it returns false and the refusal.
+// caller must then call Release once. Otherwise it returns false and the refusal.
 func (g *Gate) Acquire(ctx context.Context, ticket *Ticket) (outcome.Result, bool) {
 	ticket.verdict = make(chan Verdict, 1)
 	g.mutex.Lock()
--- a/admit/queue.go
+++ b/admit/queue.go
@@ -48,7 +48,7 @@
 // Verdict is an admission decision.
 type Verdict struct {
 	Admitted bool
-	// Queued means that the ticket waits. A later call of End, SetLimit or Expire returns it
+	// Queued means that the ticket waits. A later call of Finish, SetLimit or Expire returns it
 	// when its wait has ended.
 	Queued bool
 	// Refusal is set if the request is neither admitted nor queued.
--- a/balance/forecast.go
+++ b/balance/forecast.go
@@ -19,7 +19,7 @@
 	// to be read.
 	promptTokenSeconds average
 	// wholeRunSeconds and expectedTokens are the run time and the expected output tokens of
-	// complete answers, recorded by Generated. They are kept for services only.
+	// complete answers, recorded by ObserveGeneration. They are kept for services only.
 	wholeRunSeconds average
 	expectedTokens  average
 }
--- a/balance/peers.go
+++ b/balance/peers.go
@@ -23,7 +23,7 @@
 	t.MergePeer(now, peer, loads, false)
 }
 
-// MergePeer merges a load update of another daemon: all of its loads, or only the changed ones, as
+// MergePeer applies a load update of another daemon: all of its loads, or only the changed ones, as
 // LoadDeltas returns them.
 func (t *Tracker) MergePeer(now time.Time, peer string, update map[string]Load, changes bool) {
 	t.mutex.Lock()
--- a/brittle/slots.go
+++ b/brittle/slots.go
@@ -15,9 +15,9 @@
 )
 
 // SlotLimit returns the slots of an instance as a limit. A request takes one unit and returns it at its end; a refused
-// request does not return it. Units that are not returned recover at a rate that causes few refusals. Slots are counted in
-// this way only if there are more daemons than slots. Otherwise Admit gives each daemon slots of its own, without requests
-// to other daemons.
+// request does not return it. Units that are not returned recover at a rate that causes few refusals. Slots are counted
+// in this way only if there are more daemons than slots. Otherwise Admit gives each daemon slots of its own, without
+// requests to other daemons.
 func (t *Tracker) SlotLimit(name string, slots, daemons int) (limit quota.Limit, counted bool) {
 	svc := t.services[name]
 	if svc == nil || slots <= 0 || daemons <= slots {
--- a/brittle/tracker.go
+++ b/brittle/tracker.go
@@ -1,12 +1,12 @@
 // Package brittle controls the admission of requests to brittle instances: instances that fail if they have to refuse
-// too many requests because all their slots are in use. Services report in their answers that they are brittle. A Tracker
-// tracks these services, and decides from the loads that are known to this daemon whether an instance has a free slot for
-// another request. The package does no I/O and reads no clock.
+// too many requests because all their slots are in use. Services report in their answers that they are brittle. A
+// Tracker tracks these services, and decides from the loads that are known to this daemon whether an instance has a
+// free slot for another request. The package does no I/O and reads no clock.
 //
 // Loads of other daemons arrive with a delay, so instances still refuse some requests. The refusals that an instance
-// tolerates are divided equally among the daemons. A daemon that has used up its share for an instance sends it no further
-// request until its refusals are within the share again. A daemon also leaves slots free for requests of other daemons
-// that it has not received yet, unless it uses less than its equal share of the slots.
+// tolerates are divided equally among the daemons. A daemon that has used up its share for an instance sends it no
+// further request until its refusals are within the share again. A daemon also leaves slots free for requests of other
+// daemons that it has not received yet, unless it uses less than its equal share of the slots.
 package brittle
 
 import (
@@ -62,8 +62,8 @@
 	Ended
 )
 
-// Observe observes an answer to a request that was sent at sentAt. The answer reports whether the service is brittle (named),
-// and how many refusals a second an instance tolerates.
+// Observe records an answer to a request that was sent at sentAt. The answer reports whether the service is brittle
+// (named), and how many refusals a second an instance tolerates.
 func (t *Tracker) Observe(now time.Time, name string, sentAt time.Time, named bool, refusals float64) Change {
 	svc := t.services[name]
 	switch {
--- a/brittle/tracker_test.go
+++ b/brittle/tracker_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestDaemonsKeepToTheirPartOfTheRefusals guards against daemons that continue to send to an instance that refuses their
-// requests.
+// TestDaemonsKeepToTheirPartOfTheRefusals guards against daemons that continue to send to an instance that refuses
+// their requests.
 func TestDaemonsKeepToTheirPartOfTheRefusals(t *testing.T) {
 	cases := []struct {
 		refusals float64
@@ -119,7 +119,8 @@
 // fleetSimulation simulates many daemons, each with a tracker, that send requests to one instance in virtual time.
 type fleetSimulation struct {
 	daemons int
-	// reportDelay is the delay after which the daemons have received each other's requests, work how long a request runs.
+	// reportDelay is the delay after which the daemons have received each other's requests, work how long a request
+	// runs.
 	reportDelay, work time.Duration
 	// overload is the offered load as a multiple of the capacity of the instance.
 	overload float64
@@ -138,8 +139,8 @@
 	returnDelaySteps = 2
 )
 
-// run returns the share of its capacity that the instance served, and how often it failed. A failure has no other effect,
-// so that it does not mask the next one.
+// run returns the share of its capacity that the instance served, and how often it failed. A failure has no other
+// effect, so that it does not mask the next one.
 func (f *fleetSimulation) run(seed uint64) (served float64, failures int) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	books := make([]*brittle.Tracker, f.daemons)
@@ -205,8 +206,9 @@
 	return float64(started) / (capacity * float64(fleetDuration/fleetStep)), failures
 }
 
-// TestInstancesOfASmallFleetDoNotFall guards against daemons that together send an instance more requests than it has slots
-// because they receive each other's loads with a delay. The load is up to three times the capacity of the instance.
+// TestInstancesOfASmallFleetDoNotFall guards against daemons that together send an instance more requests than it has
+// slots because they receive each other's loads with a delay. The load is up to three times the capacity of the
+// instance.
 func TestInstancesOfASmallFleetDoNotFall(t *testing.T) {
 	for _, counted := range []bool{false, true} {
 		for _, daemons := range []int{1, 2, 8} {
--- a/brittle/update.go
+++ b/brittle/update.go
@@ -30,8 +30,8 @@
 	return update
 }
 
-// Merge merges a report that another daemon received. Reports that are not newer than the known state are ignored, since
-// daemons forward them to each other.
+// Merge applies a report that another daemon received. Reports that are not newer than the known state are ignored,
+// since daemons forward them to each other.
 func (t *Tracker) Merge(now time.Time, report Entry) Change {
 	reportedAt := now.Add(-report.Age)
 	svc := t.services[report.Service]
--- a/coordination/coldinstances.go
+++ b/coordination/coldinstances.go
@@ -7,8 +7,8 @@
 )
 
 // InstanceCold makes the driver limit the requests to a cold instance. A cold instance has just started and bears few
-// requests: for the duration Left, all daemons together may send it at most PerSecond requests per
-// second.
+// requests: for the duration Remaining, all daemons together may send it at most PerSecond requests
+// per second.
 type InstanceCold struct {
 	Instance  string
 	PerSecond float64
--- a/coordination/configurationfreshness.go
+++ b/coordination/configurationfreshness.go
@@ -331,7 +331,7 @@
 }
 
 // provesNewest reports whether a read proves which configuration was the newest. After the store was
-// restored from a copy, the copy may hold an older version. The read counts only after the operator has
+// restored from an earlier copy, the copy may hold an older version. The read counts only after the operator has
 // had time to write the newest version again, and only if the store returns at least the version known
 // here.
 func (n *Node) provesNewest(read *ConfigurationReadResult) bool {
--- a/coordination/configurationfreshness_test.go
+++ b/coordination/configurationfreshness_test.go
@@ -20,7 +20,7 @@
 // assuredStore is the configuration in the store, with its history.
 type assuredStore struct {
 	version uint64
-	// shown is the version that the store returns. After a restore from a copy it is an older one,
+	// shown is the version that the store returns. After a restore from an earlier copy it is an older one,
 	// until the operator writes the newest again at rewrittenAt.
 	shown       uint64
 	rewrittenAt time.Time
@@ -67,7 +67,7 @@
 	return s.shown
 }
 
-// loseConfigurations restores the store from a copy that lacks its last versions. The operator writes
+// loseConfigurations restores the store from an earlier copy that lacks its last versions. The operator writes
 // them again after a delay.
 func (w *world) loseConfigurations(count uint64, delay time.Duration) {
 	w.restore(w.era + 1)
@@ -261,7 +261,7 @@
 }
 
 // TestSureKnowledgeIsTrueAcrossRestores is TestSureKnowledgeIsTrue with a store that is restored from
-// copies that lack its last versions. The operator writes them again within 2 s.
+// earlier copies that lack its last versions. The operator writes them again within 2 s.
 func TestSureKnowledgeIsTrueAcrossRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newAssuredWorld(rapid.IntRange(2, 7).Draw(t, "daemons"))
--- a/coordination/departures.go
+++ b/coordination/departures.go
@@ -22,7 +22,7 @@
 )
 
 // departureTracker tracks the instances that are leaving or gone although their entries may show them as
-// ready. That happens after the store was restored from a copy, or when an instance announces in its
+// ready. That happens after the store was restored from an earlier copy, or when an instance announces in its
 // responses that it leaves and its entry is late. A daemon that recorded the departure continues to
 // send the instance no requests.
 type departureTracker struct {
@@ -45,8 +45,8 @@
 	return departureTracker{byInstance: map[string]departure{}}
 }
 
-// record processes a change of an instance. Restored means that the change comes from a copy from which
-// the store was restored. That the copy shows an instance as ready is then no new information.
+// record processes a change of an instance. Restored means that the change comes from an earlier copy
+// from which the store was restored. That the copy shows an instance as ready is then no new information.
 func (d *departureTracker) record(now time.Time, item *feed.Item[*fleet.Instance], restored bool) {
 	known, departed := d.byInstance[item.Name]
 	switch {
--- a/coordination/evacuations_test.go
+++ b/coordination/evacuations_test.go
@@ -136,7 +136,7 @@
 	w.wantInUse(t, "listed", "a")
 }
 
-// TestEvacuationOutlastsARestore covers a store that is restored from a copy which is older than an
+// TestEvacuationOutlastsARestore covers a store that is restored from an earlier copy, which is older than an
 // evacuation.
 func TestEvacuationOutlastsARestore(t *testing.T) {
 	for _, rewritten := range []bool{true, false} {
--- a/coordination/holderupdate.go
+++ b/coordination/holderupdate.go
@@ -8,11 +8,11 @@
 	boot     uint64
 	sequence uint64
 	sentAt   time.Time
-	// due lists the instances with new facts to send.
+	// due lists the instances with new residency reports to send.
 	due map[string]bool
 	// received holds the number of the latest update of each holder.
 	received map[string]updateNumber
-	// digestDiffersSince is since when the facts of the newest holder differ from those of this
+	// digestDiffersSince is since when the residency reports of the newest holder differ from those of this
 	// daemon.
 	digestDiffersSince time.Time
 	factsRequestedAt   time.Time
@@ -105,7 +105,7 @@
 	n.forwardHolderUpdate(update)
 }
 
-// checkFactsDigest requests all facts from the lease holder if those of this daemon have differed
+// checkFactsDigest requests all residency reports from the lease holder if those of this daemon have differed
 // for a while. Then an update was lost, or this daemon has just started.
 func (n *Node) checkFactsDigest(now time.Time, update *HolderUpdate) {
 	state := &n.holderUpdates
@@ -118,7 +118,7 @@
 	}
 	delay := n.settings.ResidencyRequestDelay
 	if len(n.residencyReports.byInstance) == 0 {
-		// This daemon has just started, so it requests the facts at once.
+		// This daemon has just started, so it requests the residency reports at once.
 		delay = 0
 	}
 	if now.Sub(state.digestDiffersSince) < delay || now.Sub(state.factsRequestedAt) < n.settings.ResidencyRequestInterval {
@@ -130,7 +130,7 @@
 	}
 }
 
-// sendAllFacts sends all facts to one daemon, if this daemon holds the lease.
+// sendAllFacts sends all residency reports to one daemon, if this daemon holds the lease.
 func (n *Node) sendAllFacts(now time.Time, from string) {
 	if other, found := n.detector.Lookup(from); found && n.held {
 		n.enqueue(SendPeer{Address: other.PeerAddress, Message: Message{From: n.self, ResidencyReports: n.allResidencyReports(now)}})
--- a/coordination/holderupdate_test.go
+++ b/coordination/holderupdate_test.go
@@ -19,7 +19,7 @@
 
 const manyNodes = 60
 
-// countServing counts the live nodes that have the fact that an instance serves a model.
+// countServing counts the live nodes that have a residency report by which an instance serves a model.
 func (w *world) countServing(instance, model string) int {
 	count := 0
 	for _, name := range w.names() {
@@ -39,7 +39,7 @@
 	w.perform(holder, w.nodes[holder].ReportAnswered(w.now, w.now, instance, report, true))
 }
 
-// TestFactsReachManyNodes checks that all nodes of a large fleet receive a new fact within one
+// TestFactsReachManyNodes checks that all nodes of a large fleet receive a new residency report within one
 // round, although each node sends to a few others only.
 func TestFactsReachManyNodes(t *testing.T) {
 	w := newWorld(manyNodes)
@@ -53,8 +53,8 @@
 }
 
 // TestFactsOfAServerThatIsGoneAreForgotten covers nodes that receive the removal of an instance at
-// different moments. A node must not keep a fact that arrives after the removal. Otherwise its
-// facts differ from those of all others, and it requests them again and again.
+// different moments. A node must not keep a residency report that arrives after the removal. Otherwise its
+// residency reports differ from those of all others, and it requests them again and again.
 func TestFactsOfAServerThatIsGoneAreForgotten(t *testing.T) {
 	w := newWorld(manyNodes)
 	w.listAll()
--- a/coordination/leaseholder.go
+++ b/coordination/leaseholder.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// Yield yields the lease to another daemon as long as aside is set, because this daemon can't
+// Yield leaves the lease to another daemon as long as aside is set, because this daemon can't
 // send orders to instances.
 func (n *Node) Yield(now time.Time, aside bool) []Action {
 	n.logEntry("lease", "Stands aside.", "aside", aside, "held", n.held)
--- a/coordination/messages.go
+++ b/coordination/messages.go
@@ -28,14 +28,14 @@
 	// Request requests what the sender lacks. A receiver with nothing newer reads the store
 	// and answers if it finds something new.
 	Request *Versions `msgpack:"a,omitempty"`
-	// Configuration, Instances and Evacuations are the responses to Ask.
+	// Configuration, Instances and Evacuations are the responses to Request.
 	Configuration *fleet.Configuration `msgpack:"c,omitempty"`
 	Instances     *Listing             `msgpack:"i,omitempty"`
 	Evacuations   *EvacuationListing   `msgpack:"z,omitempty"`
 	// ResidencyReports are the state of instances by their reports, sent by the lease holder to one daemon
 	// that lacks them.
 	ResidencyReports []ResidencyReport `msgpack:"r,omitempty"`
-	// RequestResidencyReports requests all facts from the lease holder.
+	// RequestResidencyReports requests all residency reports from the lease holder.
 	RequestResidencyReports bool `msgpack:"q,omitempty"`
 	// HolderUpdate is an update of the lease holder to all daemons, forwarded along a multicast tree.
 	HolderUpdate *HolderUpdate `msgpack:"s,omitempty"`
@@ -45,7 +45,7 @@
 	// Group is the load of a whole group, sent by its dispatcher to the other dispatchers.
 	Group *GroupLoad `msgpack:"g,omitempty"`
 	// FreshnessRequest requests the moment for which the receiver's configuration is known to be the
-	// newest; Assurance is the response.
+	// newest; FreshnessResponse is the response.
 	FreshnessRequest  *FreshnessRequest  `msgpack:"n,omitempty"`
 	FreshnessResponse *FreshnessResponse `msgpack:"u,omitempty"`
 	// StoreReader reports that the sender has read the configuration from the store, which other daemons
@@ -109,7 +109,7 @@
 	Lease history.Place `msgpack:"l"`
 	// Released is set if the holder has released the lease; Lease is then the place of that write.
 	Released bool `msgpack:"e,omitempty"`
-	// ResidencyReports contains only new facts; Digest covers all facts of the holder.
+	// ResidencyReports contains only new residency reports; Digest covers all those of the holder.
 	ResidencyReports []ResidencyReport `msgpack:"r,omitempty"`
 	Digest           uint64            `msgpack:"d"`
 }
@@ -214,6 +214,6 @@
 	Instance  string           `msgpack:"i"`
 	Sequence  uint64           `msgpack:"q"`
 	Residents []fleet.Resident `msgpack:"r"`
-	// Age is the age of the report when the fact was sent.
+	// Age is the age of the instance's report when the residency report was sent.
 	Age time.Duration `msgpack:"a"`
 }
--- a/coordination/node.go
+++ b/coordination/node.go
@@ -36,8 +36,8 @@
 
 	sources map[Source]*sourceState
 	eras    eraState
-	// departureTracker records which instances have left, whatever the store shows after a restore from a
-	// copy.
+	// departureTracker records which instances have left, whatever the store shows after a restore from
+	// an earlier copy.
 	departureTracker departureTracker
 	departuresAt     time.Time
 	pendingQueries   []pendingQuery
--- a/coordination/node_test.go
+++ b/coordination/node_test.go
@@ -162,7 +162,7 @@
 }
 
 // TestNodeThatStartsLateHearsWhatServersHold covers a daemon that was down when the lease holder
-// sent the fact about an adapter. The list of instances does not contain it.
+// sent the residency report that lists an adapter. The list of instances does not contain it.
 func TestNodeThatStartsLateHearsWhatServersHold(t *testing.T) {
 	w := newWorld(3)
 	w.dead["n2"] = true
--- a/coordination/observationupdate.go
+++ b/coordination/observationupdate.go
@@ -24,7 +24,8 @@
 	Brittle brittle.Update `msgpack:"t"`
 }
 
-// observationUpdateState holds the sequence of the bulletins sent and the bulletins received from each daemon.
+// observationUpdateState holds the sequence of the observation updates that this daemon sent, and the updates received
+// from each daemon.
 type observationUpdateState struct {
 	boot     uint64
 	sequence uint64
--- a/coordination/observationupdate_test.go
+++ b/coordination/observationupdate_test.go
@@ -51,7 +51,7 @@
 }
 
 // TestCrashesAreKnownToAllInTime covers how soon all daemons receive a crash, with messages that take
-// up to 50 ms. It takes at maxByOne half a second at each size, where the platform allows three or four. No
+// up to 50 ms. It takes at most half a second at each size, where the platform allows three or four. No
 // daemon processes one message twice. The store answers nobody here, so nothing goes through it.
 func TestCrashesAreKnownToAllInTime(t *testing.T) {
 	for _, size := range []int{9, 69, 295} {
--- a/coordination/reportpolling.go
+++ b/coordination/reportpolling.go
@@ -56,7 +56,7 @@
 }
 
 // BackOffInstance records that an instance requested a backoff: this daemon sends it neither polls nor
-// orders until then.
+// orders until the given time.
 func (n *Node) BackOffInstance(instance string, until time.Time) []Action {
 	if _, listed := n.instances.Get(instance); listed {
 		n.reportStateOf(instance).backoffUntil = until
--- a/coordination/settings.go
+++ b/coordination/settings.go
@@ -18,7 +18,7 @@
 	Residency residency.Settings
 	// LoadUpdateInterval is the interval between regular load updates to other daemons. After a change the
 	// minimum interval is MinLoadUpdateInterval while there are at most MaxSmallFleetPeers other daemons. In a larger
-	// fleet, changes go to the dispatcher, at a minimum interval of TellPause.
+	// fleet, changes go to the dispatcher, at a minimum interval of DispatcherUpdateInterval.
 	LoadUpdateInterval       time.Duration
 	MinLoadUpdateInterval    time.Duration
 	MaxSmallFleetPeers       int
@@ -33,12 +33,12 @@
 	ReportIntervalPerInstance time.Duration
 	ReportDelay               time.Duration
 	// HolderUpdateInterval is the interval between two updates of the lease holder to all daemons,
-	// MinHolderUpdateInterval the minimum interval if there is a new fact.
+	// MinHolderUpdateInterval the minimum interval if there is a new residency report.
 	HolderUpdateInterval    time.Duration
 	MinHolderUpdateInterval time.Duration
 	// FanOut is the number of daemons to which each daemon forwards such an update.
 	FanOut int
-	// ResidencyRequestDelay is how long this daemon's facts may differ from the holder's before it requests
+	// ResidencyRequestDelay is how long this daemon's residency reports may differ from the holder's before it requests
 	// them. It is longer than it takes until all daemons have received which instances are gone.
 	// ResidencyRequestInterval is the minimum interval between two such requests.
 	ResidencyRequestDelay    time.Duration
--- a/coordination/storeera.go
+++ b/coordination/storeera.go
@@ -20,8 +20,8 @@
 	earlierUntil time.Time
 }
 
-// rewriteWindow is how long the operator and the servers have, after the store was restored from a
-// copy, to write again what it has lost. In production the platform restores the entries of running
+// rewriteWindow is how long the operator and the servers have, after the store was restored from
+// an earlier copy, to write again what it has lost. In production the platform restores the entries of running
 // servers within about 2 s. Instances that the copy lacks are kept for that long. Meanwhile its
 // configuration is not proven to be the newest.
 const rewriteWindow = 2500 * time.Millisecond
--- a/coordination/storeera_test.go
+++ b/coordination/storeera_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestInstancesThatACopyLacksStayForAWhile covers a store that is restored from a copy which is older
+// TestInstancesThatACopyLacksStayForAWhile covers a store that is restored from an earlier copy, which is older
 // than one of two instances. The daemons that watch the store update the others.
 func TestInstancesThatACopyLacksStayForAWhile(t *testing.T) {
 	for _, rewritten := range []bool{true, false} {
@@ -124,7 +124,7 @@
 }
 
 // TestDeparturesSurviveARestore covers instances that were leaving or gone before the store was
-// restored from a copy that shows them as ready. An instance that announced that it leaves stays out of
+// restored from an earlier copy that shows them as ready. An instance that announced that it leaves stays out of
 // use, even if its entry is written again. One that was gone is used again once its server has written
 // its entry, or the entry has remained for a while.
 func TestDeparturesSurviveARestore(t *testing.T) {
--- a/coordination/world_test.go
+++ b/coordination/world_test.go
@@ -32,7 +32,7 @@
 	refresh  map[string]int
 	// messages counts the messages that each node sent.
 	messages map[string]int
-	// factMessages counts messages that carry all facts to one node.
+	// factMessages counts messages that carry all residency reports to one node.
 	factMessages int
 	// configurations counts messages with a full configuration.
 	configurations int
@@ -55,7 +55,7 @@
 	reportRequests map[string]int
 	// reports are the reports of instances; instances that are not listed hold one model.
 	reports map[string]fleet.Report
-	// freshnessRequests counts the assurance requests to each node.
+	// freshnessRequests counts the requests for a freshness proof to each node.
 	freshnessRequests map[string]int
 	// onCrashes is called with each update on crashes that a node receives; it may be nil.
 	onCrashes func(node string, update quarantine.Update)
--- a/feed/era_test.go
+++ b/feed/era_test.go
@@ -31,7 +31,7 @@
 	return current
 }
 
-// TestMirrorAcrossEras covers a store that is restored from a backup.
+// TestMirrorAcrossEras covers a store that is restored from an earlier copy.
 func TestMirrorAcrossEras(t *testing.T) {
 	mirror := feed.NewMirror[string]()
 	mirror.Replace(batchOf(1, 95, itemOf(1, 90, "a", "ready"), itemOf(1, 93, "b", "ready")))
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestItemThatIsWrittenAgainStays covers an item that the backup lacks and that is written again after the
+// TestItemThatIsWrittenAgainStays covers an item that the earlier copy lacks and that is written again after the
 // restore.
 func TestItemThatIsWrittenAgainStays(t *testing.T) {
 	mirror := feed.NewMirror[string]()
@@ -78,7 +78,7 @@
 	}
 }
 
-// TestListAcrossARestoreBeginsAnew covers a store that is restored from a backup between two pages.
+// TestListAcrossARestoreBeginsAnew covers a store that is restored from an earlier copy between two pages.
 func TestListAcrossARestoreBeginsAnew(t *testing.T) {
 	source := &erasSource{eras: []uint64{1, 2, 2, 2}}
 	var listing feed.Listing[string]
@@ -142,7 +142,7 @@
 	s.at = history.At(s.at.Era+1, state.revision)
 	s.items = map[string]feed.Item[string]{}
 	for name, item := range state.items {
-		// The store returns the items of the backup with its new era.
+		// The store returns the items of the earlier copy with its new era.
 		item.Place.Era = s.at.Era
 		s.items[name] = item
 	}
@@ -166,7 +166,7 @@
 }
 
 // TestMirrorsAgreeAfterRestores has mirrors apply lists and changes late and reordered, while the store is
-// restored from backups. In the end, after one list, each mirror equals the store. The place of a mirror never
+// restored from earlier copies. In the end, after one list, each mirror equals the store. The place of a mirror never
 // goes back.
 func TestMirrorsAgreeAfterRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -1,5 +1,5 @@
 // Package feed mirrors a collection of an external object store in memory. It reads a full list first, then
-// changes, and lists again whenever the store no longer keeps the history or was restored from a backup. Each
+// changes, and lists again whenever the store no longer keeps the history or was restored from an earlier copy. Each
 // restore begins a new era of the store's history. Values only move forward in that history, within an era and
 // from one era to the next.
 package feed
--- a/gateway/allowance.go
+++ b/gateway/allowance.go
@@ -26,12 +26,12 @@
 // Quotas enforces the limits of tenants. It must be safe for concurrent use.
 type Quotas interface {
 	Take(ctx context.Context, use QuotaCharge) Allowance
-	// Refund refunds an amount that was taken a moment ago and is not used.
+	// Refund returns an amount that was taken a moment ago and is not used.
 	Refund(use QuotaCharge)
 }
 
-// acquireAllowance charges the next run of the request to its tenant's limit, unless the request holds a valid allowance
-// already. It returns the reason why the request may not run, or an empty one.
+// acquireAllowance charges the next run of the request to its tenant's limit, unless the request holds a valid
+// allowance already. It returns the reason why the request may not run, or an empty one.
 func (e *exchange) acquireAllowance(ctx context.Context) Reason {
 	quotas := e.gateway.settings.Quotas
 	if quotas == nil || e.tenant == nil || !e.tenant.Limit.Limited() {
--- a/gateway/backgroundqueue.go
+++ b/gateway/backgroundqueue.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// yieldQueues are the queues of the background requests that wait at this daemon, ordered by the end of their slack. The
-// first request for each instance polls for room; the others are woken when they become first. It is safe for
+// yieldQueues are the queues of the background requests that wait at this daemon, ordered by the end of their slack.
+// The first request for each instance polls for room; the others are woken when they become first. It is safe for
 // concurrent use.
 type yieldQueues struct {
 	mutex  sync.Mutex
--- a/gateway/benchmark_test.go
+++ b/gateway/benchmark_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// BenchmarkServe guards against slower handling of requests that do not wait: urgent ones, and background requests, which
-// would yield to them.
+// BenchmarkServe guards against slower handling of requests that do not wait: urgent ones, and background requests,
+// which would yield to them.
 func BenchmarkServe(b *testing.B) {
 	for name, route := range map[string]string{"urgent": "stream", "background": "resume"} {
 		b.Run(name, func(b *testing.B) {
--- a/gateway/candidate.go
+++ b/gateway/candidate.go
@@ -208,8 +208,8 @@
 	}
 }
 
-// recheckInterval is the interval at which a waiting request searches again without a change of the snapshot: conditions
-// that keep requests from instances also end by the passing of time.
+// recheckInterval is the interval at which a waiting request searches again without a change of the snapshot:
+// conditions that keep requests from instances also end by the passing of time.
 const recheckInterval = 100 * time.Millisecond
 
 // pick chooses among the instances that the request was not sent to and that are not excluded otherwise.
--- a/gateway/event.go
+++ b/gateway/event.go
@@ -19,7 +19,8 @@
 	// this key.
 	ReasonNoKey      Reason = "no_key"
 	ReasonUnknownKey Reason = "unknown_key"
-	// ReasonConfigurationUnsure means that the configuration of this daemon may be too old to tell whether the key is still valid.
+	// ReasonConfigurationUnsure means that the configuration of this daemon may be too old to tell whether the key is
+	// still valid.
 	ReasonConfigurationUnsure Reason = "configuration_unsure"
 	// ReasonQuota means that the tenant has exhausted its limit, ReasonQuotaUnsure that no daemon could be reached to
 	// check the limit.
@@ -80,8 +81,8 @@
 const (
 	// StepWaiting means that no instance can take the request now.
 	StepWaiting Step = "waiting"
-	// StepPaced means that every instance has many prompts to process or, with ReasonYielding, that the request waits for
-	// more urgent ones.
+	// StepPaced means that every instance has many prompts to process or, with ReasonYielding, that the request waits
+	// for more urgent ones.
 	StepPaced Step = "paced"
 	// StepSent means that an instance was chosen.
 	StepSent Step = "sent"
@@ -178,8 +179,9 @@
 	return false
 }
 
-// NeedsPromptParts reports whether the parts of the request's prompt help to find the cause of the event. That is so if the
-// instance may have crashed while running the request, or if the request is kept from instances since others crashed.
+// NeedsPromptParts reports whether the parts of the request's prompt help to find the cause of the event. That is so if
+// the instance may have crashed while running the request, or if the request is kept from instances since others
+// crashed.
 func (e *Event) NeedsPromptParts() bool {
 	switch e.Step {
 	case StepStreamTruncated, StepAttemptFailed:
--- a/gateway/eventstream.go
+++ b/gateway/eventstream.go
@@ -6,12 +6,13 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrTruncated is the class of errors for answers that were truncated by their instance although their framing is complete.
+// ErrTruncated is the class of errors for answers that were truncated by their instance although their framing is
+// complete.
 var ErrTruncated = errs.Class("gateway: broken off")
 
 // eventScanner scans a stream of server-sent events byte by byte and tracks whether the position is between two events.
-// Lines end with LF, CR or CR LF, and an event ends with an empty line. A line that begins with a colon is a comment and
-// not part of an event. The zero value is at the beginning of a stream.
+// Lines end with LF, CR or CR LF, and an event ends with an empty line. A line that begins with a colon is a comment
+// and not part of an event. The zero value is at the beginning of a stream.
 type eventScanner struct {
 	// inLine is set while the position is inside a line.
 	inLine bool
@@ -23,8 +24,8 @@
 	eventEnded bool
 }
 
-// scan processes a piece and returns the length of its part before the last boundary between two events; zero if the piece
-// has no such boundary.
+// scan processes a piece and returns the length of its part before the last boundary between two events; zero if the
+// piece has no such boundary.
 func (s *eventScanner) scan(piece []byte) (cut int) {
 	for i := 0; i < len(piece); i++ {
 		if s.inLine {
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -50,8 +50,8 @@
 	suspectTurnExpires time.Time
 	// retryDelay is the time until a turn may be available, or until an instance's requested backoff ends.
 	retryDelay time.Duration
-	// quarantineAttributes holds the digests that the quarantine matches, or nil until they are needed. heldFor is the digest
-	// for which the request is held; a held request is sent to no instance.
+	// quarantineAttributes holds the digests that the quarantine matches, or nil until they are needed. holdCause is
+	// the digest for which the request is held; a held request is sent to no instance.
 	quarantineAttributes *quarantine.Attributes
 	holdCause            quarantine.Digest
 	deadline             time.Time
@@ -349,8 +349,8 @@
 	return attemptBroken
 }
 
-// attributableOutcome returns the outcome of an attempt that ended without a whole answer. It does not count against the
-// instance if the client disconnected or this daemon is shutting down.
+// attributableOutcome returns the outcome of an attempt that ended without a whole answer. It does not count against
+// the instance if the client disconnected or this daemon is shutting down.
 func attributableOutcome(ctx context.Context, outcome balance.Outcome) balance.Outcome {
 	if clientLeft(ctx) || drain.Stopped(ctx) {
 		return balance.Abandoned
--- a/gateway/identify_test.go
+++ b/gateway/identify_test.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestKeyIsLookedAtAgainAfterAWait guards against a request that is sent although its key was revoked while it waited for
-// a model, or although the configuration became too old to decide about keys.
+// TestKeyIsLookedAtAgainAfterAWait guards against a request that is sent although its key was revoked while it waited
+// for a model, or although the configuration became too old to decide about keys.
 func TestKeyIsLookedAtAgainAfterAWait(t *testing.T) {
 	cases := []struct {
 		name   string
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -11,29 +11,30 @@
 )
 
 // Notices tracks what instances announce about themselves (limits, rests, full slots) and decides which of them may get
-// requests from this daemon. It must be safe for concurrent use. Only Admit and AcquireSlot block.
+// requests from this daemon. It must be safe for concurrent use. Only AcquireTurn and AcquireSlot block.
 type Notices interface {
 	// Exclusions lists the instances that must get no request now. The list must not be modified.
 	Exclusions() []Exclusion
-	// Excluded reports whether the instance must get no request now. An instance that only is at its limit is not barred.
+	// Excluded reports whether the instance must get no request now. An instance that only is at its limit is not
+	// barred.
 	Excluded(instance string) bool
-	// AcquireTurn acquires a turn at an instance that limits the requests from all daemons together. It is granted only if
-	// it starts within the given time.
+	// AcquireTurn acquires a turn at an instance that limits the requests from all daemons together. It is granted only
+	// if it starts within the given time.
 	AcquireTurn(ctx context.Context, instance string, within time.Duration) Turn
-	// HasRoom reports whether the instance may get another request from this daemon. The parameter requests is the known
-	// number of requests at the instance. The result is false only for brittle instances: those that fail when they
-	// have to reject requests.
+	// HasRoom reports whether the instance may get another request from this daemon. The parameter requests is the
+	// known number of requests at the instance. The result is false only for brittle instances: those that fail when
+	// they have to reject requests.
 	HasRoom(instance *fleet.Instance, requests int) bool
-	// AcquireSlot takes a slot of a brittle instance for a request. The parameter requests is the known number of requests
-	// at the instance. ReleaseSlot is called when the request has ended, or is not sent.
+	// AcquireSlot takes a slot of a brittle instance for a request. The parameter requests is the known number of
+	// requests at the instance. ReleaseSlot is called when the request has ended, or is not sent.
 	AcquireSlot(ctx context.Context, instance *fleet.Instance, requests int) Slot
 	ReleaseSlot(instance *fleet.Instance)
 	// RecordRefusal records that an instance rejected a request because it had no free slot.
 	RecordRefusal(instance *fleet.Instance)
 }
 
-// Exclusion excludes an instance from requests. An instance that balance.Tracker advises against is still used if there is no
-// other one; a barred instance is not.
+// Exclusion bars an instance from requests. An instance that balance.Tracker advises against is still used if there is
+// no other one; a barred instance is not.
 type Exclusion struct {
 	Instance string
 	Reason   Reason
@@ -47,8 +48,8 @@
 const (
 	// SlotTaken means that the request may be sent, and that its slot has to be released afterwards.
 	SlotTaken Slot = iota
-	// SlotUncounted means that the request may be sent and that there is no slot to release: the instance's slots are not
-	// counted.
+	// SlotUncounted means that the request may be sent and that there is no slot to release: the instance's slots are
+	// not counted.
 	SlotUncounted
 	// SlotDenied means that all slots are in use.
 	SlotDenied
@@ -64,8 +65,8 @@
 	Wait time.Duration
 }
 
-// exclusions returns the instances that must not get this request now. Those at their limit are listed separately, because
-// a turn may be available there soon.
+// exclusions returns the instances that must not get this request now. Those at their limit are listed separately,
+// because a turn may be available there soon.
 func (e *exchange) exclusions() (barred, atLimit []string) {
 	if e.gateway.settings.Notices == nil {
 		return nil, nil
@@ -80,8 +81,8 @@
 	return barred, atLimit
 }
 
-// acquireTurn acquires a turn at an instance, waits until it starts, and reports whether the request may be sent there now.
-// If no turn is granted, the request's slot at the instance is released.
+// acquireTurn acquires a turn at an instance, waits until it starts, and reports whether the request may be sent there
+// now. If no turn is granted, the request's slot at the instance is released.
 func (e *exchange) acquireTurn(ctx context.Context, instance *fleet.Instance, within time.Duration) bool {
 	notices := e.gateway.settings.Notices
 	if notices == nil {
@@ -105,8 +106,8 @@
 	return ctx.Err() == nil
 }
 
-// stillAllowed reports whether the request may still be sent to an instance. It is the last check before the first byte,
-// because the state may have changed while an instance was chosen, a turn acquired and a connection established.
+// stillAllowed reports whether the request may still be sent to an instance. It is the last check before the first
+// byte, because the state may have changed while an instance was chosen, a turn acquired and a connection established.
 func (e *exchange) stillAllowed(instance string) bool {
 	if current := e.gateway.view.Load().Instance(instance); current != nil && current.Leaving {
 		return false
@@ -119,8 +120,8 @@
 	return !expired && !notices.Excluded(instance)
 }
 
-// atLimit tries to acquire a turn that starts soon at an instance that is at its limit. It is used when no other instance
-// can take the request.
+// atLimit tries to acquire a turn that starts soon at an instance that is at its limit. It is used when no other
+// instance can take the request.
 func (e *exchange) atLimit(ctx context.Context, view *fleet.View, excluded []string) (*balance.Candidate, searchResult) {
 	candidate := e.pick(ctx, view, excluded)
 	switch {
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -16,15 +16,15 @@
 // fakeNotices is a gateway.Notices with fixed announcements of the instances.
 type fakeNotices struct {
 	bars []gateway.Exclusion
-	// turns are the results of Admit by instance; an instance that is not in it has no limit.
+	// turns are the results of AcquireTurn by instance; an instance that is not in it has no limit.
 	turns map[string]gateway.Turn
-	// admitCalls are the instances with a limit for which Admit was called.
+	// admitCalls are the instances with a limit for which AcquireTurn was called.
 	admitCalls []string
 	// full are the instances for which HasRoom returns false.
 	full []string
 	// slots is the number of free slots by instance; the slots of other instances are not counted.
 	slots map[string]int
-	// rejectedBy are the instances for which TurnedAway was called.
+	// rejectedBy are the instances for which RecordRefusal was called.
 	rejectedBy []string
 	// barsFrom is the time from which the bars apply; zero for always.
 	barsFrom time.Time
@@ -178,10 +178,10 @@
 	return s.scriptedUpstream.Send(ctx, outbound)
 }
 
-// TestRestingInstances covers requests for three instances of which some are resting, that is, have asked for no requests
-// for a time. Another instance takes the request, even one that balance.Tracker advises against. If all are resting, the
-// request waits for the first rest to end if it may wait so long. Otherwise it is rejected at once with the time until
-// then.
+// TestRestingInstances covers requests for three instances of which some are resting, that is, have asked for no
+// requests for a time. Another instance takes the request, even one that balance.Tracker advises against. If all are
+// resting, the request waits for the first rest to end if it may wait so long. Otherwise it is rejected at once with
+// the time until then.
 func TestRestingInstances(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -217,8 +217,8 @@
 	}
 }
 
-// TestInstanceThatAsksForRestDuringAConnection guards against a request sent to an instance that has asked for rest while
-// the connection to it was being established.
+// TestInstanceThatAsksForRestDuringAConnection guards against a request sent to an instance that has asked for rest
+// while the connection to it was being established.
 func TestInstanceThatAsksForRestDuringAConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		notices := &fakeNotices{barsFrom: time.Now().Add(100 * time.Millisecond)}
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -30,8 +30,8 @@
 	return fleet.NewView(routes, []*fleet.Instance{{ID: "i1", Service: "svc", Slots: 4, Residents: []fleet.Resident{{Model: "m"}}}})
 }
 
-// TestWhatCannotBeginInTimeIsRefusedAtOnce guards against requests that are queued although their first token would come
-// too late, and against refusals of those in time. A place in the batch of the only instance becomes free every
+// TestWhatCannotBeginInTimeIsRefusedAtOnce guards against requests that are queued although their first token would
+// come too late, and against refusals of those in time. A place in the batch of the only instance becomes free every
 // quarter of a second, and the target is one second.
 func TestWhatCannotBeginInTimeIsRefusedAtOnce(t *testing.T) {
 	cases := []struct {
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -11,8 +11,8 @@
 )
 
 // Quarantine finds request contents, and prompt parts shared by several requests, that crash the instances that run
-// them. Such contents and parts are held: for a time, no request with them is sent to an instance. Only SuspectTurn and
-// Settled block.
+// them. Such contents and parts are held: for a time, no request with them is sent to an instance. Only
+// AcquireSuspectTurn and AwaitCrashCheck block.
 type Quarantine interface {
 	// HasSuspects reports whether any content or part is suspected. While none is, which is nearly always,
 	// requests need no digest.
@@ -20,25 +20,26 @@
 	Digest(content *quarantine.Content) quarantine.Digest
 	// PartDigest returns the digest of the shared prompt part with this ID.
 	PartDigest(id string) quarantine.Digest
-	// HeldUntil returns the time until which the request may not be sent to an instance, and the content or part that is
-	// the cause. The time is zero if the request is not held.
+	// HeldUntil returns the time until which the request may not be sent to an instance, and the content or part that
+	// is the cause. The time is zero if the request is not held.
 	HeldUntil(request *quarantine.Attributes) (until time.Time, cause quarantine.Digest)
-	// AcquireSuspectTurn acquires the right to run a request now whose content, or one of whose parts, was running when an
-	// instance crashed. Such requests run one after the other in the whole fleet: the next one starts only after the time
-	// that a verdict on the previous one takes. A request without a suspected content or part always gets the turn.
+	// AcquireSuspectTurn acquires the right to run a request now whose content, or one of whose parts, was running when
+	// an instance crashed. Such requests run one after the other in the whole fleet: the next one starts only after the
+	// time that a verdict on the previous one takes. A request without a suspected content or part always gets the
+	// turn.
 	AcquireSuspectTurn(ctx context.Context, request *quarantine.Attributes) Turn
 	// RecordBroken records that an instance closed the connection of a request that it ran. Whether the instance
 	// crashed is determined afterwards.
 	RecordBroken(instance *fleet.Instance, victim quarantine.InterruptedRequest)
-	// AwaitCrashCheck waits for a short time until the check whether the instance crashed is done. Without this wait, the next
-	// attempt would start before the result of the failed one is known.
+	// AwaitCrashCheck waits for a short time until the check whether the instance crashed is done. Without this wait,
+	// the next attempt would start before the result of the failed one is known.
 	AwaitCrashCheck(ctx context.Context, instance *fleet.Instance)
-	// RecordSuccess records that a request was answered successfully. Answered records that the instance served a request
-	// that was sent at the time began.
+	// RecordSuccess records that a request was answered successfully. RecordAnswer records that the instance served a
+	// request that was sent at the time began.
 	RecordSuccess(request *quarantine.Attributes)
 	RecordAnswer(instance string, began time.Time)
-	// RecordHarmlessPrompt records that a request with this prompt was answered successfully. It is called for every such request, also
-	// while nothing is suspected.
+	// RecordHarmlessPrompt records that a request with this prompt was answered successfully. It is called for every
+	// such request, also while nothing is suspected.
 	RecordHarmlessPrompt(prompt []PromptPart)
 }
 
@@ -82,8 +83,8 @@
 	return !until.IsZero()
 }
 
-// verdictPollInterval is the interval at which a request that waits for the verdict on its content checks again: another
-// request with the same content may have succeeded, or another instance may have crashed.
+// verdictPollInterval is the interval at which a request that waits for the verdict on its content checks again:
+// another request with the same content may have succeeded, or another instance may have crashed.
 const verdictPollInterval = 50 * time.Millisecond
 
 // verdictWait is the result of the wait for the verdict on a content.
@@ -130,8 +131,8 @@
 	return max(0, e.until(until))
 }
 
-// reportBroken reports to the quarantine that the instance closed the request's connection, unless the client or this daemon
-// closed it.
+// reportBroken reports to the quarantine that the instance closed the request's connection, unless the client or this
+// daemon closed it.
 func (e *exchange) reportBroken(ctx context.Context, instance *fleet.Instance) {
 	if e.gateway.settings.Quarantine == nil || ctx.Err() != nil || attributableOutcome(ctx, balance.Broken) != balance.Broken {
 		return
@@ -141,15 +142,16 @@
 	})
 }
 
-// awaitCrashCheck waits after an attempt whose connection broke, if another attempt is allowed, for the check whether the
-// instance crashed.
+// awaitCrashCheck waits after an attempt whose connection broke, if another attempt is allowed, for the check whether
+// the instance crashed.
 func (e *exchange) awaitCrashCheck(ctx context.Context, last attemptResult, instance *fleet.Instance) {
 	if last == attemptBroken && e.route.Repeatable() && e.gateway.settings.Quarantine != nil {
 		e.gateway.settings.Quarantine.AwaitCrashCheck(ctx, instance)
 	}
 }
 
-// reportSuccess reports to the quarantine that the instance completed the request, so its content and parts are harmless.
+// reportSuccess reports to the quarantine that the instance completed the request, so its content and parts are
+// harmless.
 func (e *exchange) reportSuccess(instance string) {
 	tracker := e.gateway.settings.Quarantine
 	if tracker == nil {
@@ -174,8 +176,8 @@
 const minHarmlessDuration = 500 * time.Millisecond
 
 // clearsSharedParts reports whether the completed answer shows that the shared parts of the prompt are harmless. If the
-// end of the connection marks the end of the body, a crash between two events looks like a complete answer. In this case
-// only an answer that continued for minHarmlessDuration counts.
+// end of the connection marks the end of the body, a crash between two events looks like a complete answer. In this
+// case only an answer that continued for minHarmlessDuration counts.
 func (e *exchange) clearsSharedParts() bool {
 	if len(e.request.Prompt) < 2 {
 		return false
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -24,9 +24,9 @@
 	settled   int
 	served    int
 	digests   int
-	// servedParts are the parts passed with the last call of Served.
+	// servedParts are the parts passed with the last call of RecordSuccess.
 	servedParts []quarantine.Part
-	// harmless are the prompts passed to Sound.
+	// harmless are the prompts passed to RecordHarmlessPrompt.
 	harmless [][]gateway.PromptPart
 	// turnAt is the time from which the content gets a turn; zero for always.
 	turnAt time.Time
@@ -181,9 +181,9 @@
 	})
 }
 
-// TestCopyOfASuspectWaitsForItsTurn covers a request that waits while another request with its content may still crash an
-// instance. It is sent once it gets a turn, or once the content is cleared. It is rejected at once, as not run, if that
-// would take too long.
+// TestCopyOfASuspectWaitsForItsTurn covers a request that waits while another request with its content may still crash
+// an instance. It is sent once it gets a turn, or once the content is cleared. It is rejected at once, as not run, if
+// that would take too long.
 func TestCopyOfASuspectWaitsForItsTurn(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -238,8 +238,8 @@
 	})
 }
 
-// TestSharedPartsOfPromptsAreJudged covers which parts of a prompt the quarantine checks: all but the last one, which no
-// other request shares, and 32 at most.
+// TestSharedPartsOfPromptsAreJudged covers which parts of a prompt the quarantine checks: all but the last one, which
+// no other request shares, and 32 at most.
 func TestSharedPartsOfPromptsAreJudged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, c := range []struct {
@@ -265,8 +265,8 @@
 	})
 }
 
-// TestAnswerThatEndsWithItsConnectionSpeaksForNoPart guards against shared parts that are cleared by an answer without a
-// length or chunks. If the instance crashes between two events of it, the answer looks complete.
+// TestAnswerThatEndsWithItsConnectionSpeaksForNoPart guards against shared parts that are cleared by an answer without
+// a length or chunks. If the instance crashes between two events of it, the answer looks complete.
 func TestAnswerThatEndsWithItsConnectionSpeaksForNoPart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := &fakeQuarantine{suspects: true}
--- a/gateway/sampler.go
+++ b/gateway/sampler.go
@@ -19,7 +19,7 @@
 // eventTerminator ends an event whose lines end with LF.
 var eventTerminator = []byte("\n\n")
 
-// PaceObserver receives samples of the time that instances take between stream events. Sampled is called from several
+// PaceObserver receives samples of the time that instances take between stream events. AddSample is called from several
 // goroutines and must not block.
 type PaceObserver interface {
 	AddSample(sample pace.Sample)
--- a/gateway/streamorigin.go
+++ b/gateway/streamorigin.go
@@ -29,8 +29,8 @@
 	Software string
 }
 
-// requiredOrigin is the software version of the instances that started a stream. The outputs of two versions cannot be combined
-// in one stream, and instances do not check for that.
+// requiredOrigin is the software version of the instances that started a stream. The outputs of two versions cannot be
+// combined in one stream, and instances do not check for that.
 type requiredOrigin struct {
 	required bool
 	software string
--- a/gateway/streamorigin_test.go
+++ b/gateway/streamorigin_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// fixedOrigins is an Origins with fixed origins of some streams, which records the streams that start.
+// fixedOrigins is a StreamOrigins with fixed origins of some streams, which records the streams that start.
 type fixedOrigins struct {
 	known map[string]gateway.StreamOrigin
 	began []gateway.StartedStream
--- a/gateway/types.go
+++ b/gateway/types.go
@@ -68,7 +68,8 @@
 	Prompt []PromptPart
 	// ResumeAfter is the ID of the last event that the client received, or empty.
 	ResumeAfter string
-	// ResumedRequestID is the ID of the request that received the first event of the stream which this request resumes, or empty.
+	// ResumedRequestID is the ID of the request that received the first event of the stream which this request resumes,
+	// or empty.
 	ResumedRequestID string
 
 	Arrived time.Time
@@ -90,8 +91,8 @@
 	ResumeAfter string
 	// MaxConnections bounds the connections from this daemon to the instance; zero means no limit.
 	MaxConnections int
-	// StillAllowed is called once there is a connection, just before the first byte is sent. It reports whether the request
-	// may still be sent; nil means that it may.
+	// StillAllowed is called once there is a connection, just before the first byte is sent. It reports whether the
+	// request may still be sent; nil means that it may.
 	StillAllowed func() bool
 }
 
--- a/gateway/unreached.go
+++ b/gateway/unreached.go
@@ -9,7 +9,8 @@
 // It doubles with each further try, so that an instance that has ended gets few connections.
 const initialReachBackoff = 200 * time.Millisecond
 
-// recordUnreached records that an instance could not be reached. The request goes to other instances while there are any.
+// recordUnreached records that an instance could not be reached. The request goes to other instances while there are
+// any.
 func (e *exchange) recordUnreached(id string) {
 	if len(e.unreachable) == 0 {
 		e.reachBackoff = max(initialReachBackoff, 2*e.reachBackoff)
--- a/gateway/wait.go
+++ b/gateway/wait.go
@@ -97,8 +97,8 @@
 	return w.waitFor(ctx, ReasonNoConnection, connectionPollInterval, nil)
 }
 
-// awaitCapacity waits a short time for room at an instance. It reports whether the request may search again: it waits no
-// longer for room than for crowded instances.
+// awaitCapacity waits a short time for room at an instance. It reports whether the request may search again: it waits
+// no longer for room than for crowded instances.
 func (w *candidateWait) awaitCapacity(ctx context.Context) bool {
 	w.lacksConnection = false
 	e := w.exchange
--- a/gateway/yield.go
+++ b/gateway/yield.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// yieldReserveShare is the share of the target latency that a yielding request keeps in reserve: the forecast may be
-	// wrong, and more urgent requests may reach the instance after it.
+	// yieldReserveShare is the share of the target latency that a yielding request keeps in reserve: the forecast may
+	// be wrong, and more urgent requests may reach the instance after it.
 	yieldReserveShare = 0.25
-	// yieldPollInterval is the interval between two searches of a yielding request, and so the longest time that a place
-	// in a batch stays free.
+	// yieldPollInterval is the interval between two searches of a yielding request, and so the longest time that a
+	// place in a batch stays free.
 	yieldPollInterval = 20 * time.Millisecond
 	// minLateForecastShare is the share of the target latency that a forecast must exceed before a request is
 	// refused as too late. A request that has waited here for other reasons is served late if its instance
--- a/history/place.go
+++ b/history/place.go
@@ -1,7 +1,7 @@
 // Package history identifies places in the history of an external store.
 //
-// A store numbers its changes by revision. When it is restored from a backup, the changes made after the
-// backup are lost, and their revisions are assigned again to other changes. A revision alone then neither
+// A store numbers its changes by revision. When it is restored from an earlier copy, the changes made after
+// that copy are lost, and their revisions are assigned again to other changes. A revision alone then neither
 // identifies a change nor shows which of two changes is newer. The store's era, a number that increases
 // with each restore, does so together with the revision.
 //
--- a/history/place_test.go
+++ b/history/place_test.go
@@ -14,8 +14,8 @@
 	return history.At(rapid.Uint64Range(0, 1<<13-1).Draw(t, label+" era"), rapid.Uint64Range(0, 1<<40-1).Draw(t, label+" revision"))
 }
 
-// TestTokensRiseWithPlaces guards against tokens that are not ordered as their places are, in particular where a later era has
-// a lower revision. It also guards against tokens that a floating-point number does not hold exactly.
+// TestTokensRiseWithPlaces guards against tokens that are not ordered as their places are, in particular where a later
+// era has a lower revision. It also guards against tokens that a floating-point number does not hold exactly.
 func TestTokensRiseWithPlaces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawPlace(t, "a"), drawPlace(t, "b")
--- a/lease/era.go
+++ b/lease/era.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// EraLearned records an era of the store. A newer era means that the store was restored from a copy,
+// EraLearned records an era of the store. A newer era means that the store was restored from an earlier copy,
 // and the known record may be gone. A holder whose term has not ended writes its own record again.
 // Nobody else takes over the lease for a term, whatever record the copy shows. By then the term of any
 // earlier holder has ended.
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -42,7 +42,7 @@
 	// yielding means that this candidate could not act as the holder now.
 	yielding bool
 
-	// era is the newest known era of the store. An era begins when the store is restored from a copy.
+	// era is the newest known era of the store. An era begins when the store is restored from an earlier copy.
 	era      uint64
 	eraKnown bool
 	// writtenEra is the era of our own last write that succeeded.
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -16,7 +16,7 @@
 
 // store is the oracle: one record with conditional updates, whose answers may be lost before or after
 // the write is done. A read that allows a stale record may get an earlier one. The store may be
-// restored from a copy with an earlier record, and then assigns the same revisions again.
+// restored from an earlier copy with an earlier record, and then assigns the same revisions again.
 type store struct {
 	stored   lease.Stored
 	era      uint64
@@ -53,7 +53,7 @@
 	return lease.OutcomeDone, s.stored
 }
 
-// restore restores the store from a copy with the record that was written a number of writes ago.
+// restore restores the store from an earlier copy, with the record that was written a number of writes ago.
 func (s *store) restore(writes int) {
 	s.era++
 	if number := len(s.earlier) - writes; writes > 0 && number > 0 {
@@ -84,7 +84,7 @@
 // no two share a token.
 func TestAtMostOneHolder(t *testing.T) { testAtMostOneHolder(t, false) }
 
-// TestAtMostOneHolderAcrossRestores is TestAtMostOneHolder with a store that is restored from copies.
+// TestAtMostOneHolderAcrossRestores is TestAtMostOneHolder with a store that is restored from earlier copies.
 // The record may then name an earlier holder, or show the lease as handed back.
 func TestAtMostOneHolderAcrossRestores(t *testing.T) { testAtMostOneHolder(t, true) }
 
--- a/lease/record.go
+++ b/lease/record.go
@@ -33,7 +33,7 @@
 func (s *Stored) missing() bool { return s.At.Revision == 0 }
 
 // fromCopy reports whether the record was written in an earlier era than that of the store which
-// returned it. The store was restored from a copy since, and has lost what was written between the two.
+// returned it. The store was restored from an earlier copy since, and has lost what was written between the two.
 func (s *Stored) fromCopy() bool { return !s.missing() && s.Record.Era < s.At.Era }
 
 // Settings of a lease.
--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -1,6 +1,6 @@
-// Package limiter enforces the limits of subjects over messages between daemons. It queries the owner of a limit whether
-// a subject may use more, and answers such queries for the limits that this daemon grants. Package quota decides; the
-// daemon that uses the limiter transports the messages.
+// Package limiter enforces the limits of subjects over messages between daemons. It queries the owner of a limit
+// whether a subject may use more, and answers such queries for the limits that this daemon grants. Package quota
+// decides; the daemon that uses the limiter transports the messages.
 package limiter
 
 import (
@@ -90,14 +90,14 @@
 	// limit nor a stand-in answers. With limits of a few requests a second, the parts that a large fleet
 	// accumulates so exceed the limit.
 	Strict bool
-	// OwnerOnly has a daemon answer with quota.Keeper.TakeAsOwner: a stand-in redirects to the owner that it can
+	// OwnerOnly has a daemon answer with quota.Buckets.TakeAsOwner: a stand-in redirects to the owner that it can
 	// reach, and a new owner denies requests at first. Daemons that reach each other then never grant one limit
 	// concurrently.
 	OwnerOnly bool
 	// InitialDebt is how many units a daemon that begins to grant a limit assumes to be granted already.
 	InitialDebt float64
-	// InitialLevel returns the level of the bucket with which a daemon begins to grant a limit; nil means minus Debt. It
-	// must not call the limiter.
+	// InitialLevel returns the level of the bucket with which a daemon begins to grant a limit; nil means minus
+	// InitialDebt. It must not call the limiter.
 	InitialLevel func(subject string) float64
 	Log          func(text string, fields ...any)
 }
@@ -237,7 +237,7 @@
 	return l.deniedUntil[name].Sub(l.now())
 }
 
-// Refund refunds what was taken a moment ago and is not used. The refund goes to the present owner,
+// Refund returns what was taken a moment ago and is not used. The refund goes to the present owner,
 // as the daemon that granted it is not recorded. What one daemon granted is available again also if
 // another one receives the refund.
 func (l *Limiter) Refund(request Request) {
--- a/notice/tracker.go
+++ b/notice/tracker.go
@@ -53,7 +53,7 @@
 	Instance string
 	// Leaving means that the instance is known to be leaving from now on.
 	Leaving bool
-	// Limited means that the instance states a limit from now on, of PerSecond, and Lifted that it no longer has
+	// Limited means that the instance states a limit from now on, of PerSecond, and LimitRemoved that it no longer has
 	// one.
 	Limited      bool
 	PerSecond    float64
--- a/notice/update.go
+++ b/notice/update.go
@@ -56,7 +56,7 @@
 	return update
 }
 
-// Merge merges an update of another daemon, and returns what has changed.
+// Merge applies an update of another daemon, and returns what has changed.
 func (t *Tracker) Merge(now time.Time, update Update) []Change {
 	var changes []Change
 	for i := range update.Items {
--- a/pace/estimate.go
+++ b/pace/estimate.go
@@ -12,9 +12,9 @@
 	maxSweeps = 8
 	// convergedChange ends an estimate: the largest change of an instance effect (a logarithm) in a sweep is below it.
 	convergedChange = 0.005
-	// instancePriorSamples is the weight, in samples, of the prior that an instance is typical. modelPriorSamples is the
-	// weight of the prior that a model is like the others of its service. Models differ more than instances do, so a
-	// difference that samples can't attribute to either goes to the model.
+	// instancePriorSamples is the weight, in samples, of the prior that an instance is typical. modelPriorSamples is
+	// the weight of the prior that a model is like the others of its service. Models differ more than instances do, so
+	// a difference that samples can't attribute to either goes to the model.
 	instancePriorSamples = 0.1
 	modelPriorSamples    = 0.05
 	// huberThreshold is the largest residual, as a logarithm, at which an observation has its full weight (1.22 times).
@@ -46,7 +46,7 @@
 	Min, Max float64
 }
 
-// Estimate estimates all factors from the observations so far and publishes them. It returns those that are new, or that
+// Estimate computes all factors from the observations so far and publishes them. It returns those that are new, or that
 // differ from the last report by more than reportedChangeRatio.
 func (t *Tracker) Estimate() []Change {
 	t.mutex.Lock()
--- a/pace/fleet_test.go
+++ b/pace/fleet_test.go
@@ -15,8 +15,8 @@
 	seeds = 2
 )
 
-// wrongShare returns the share of the servers whose factor is wrong by more than a ratio, at the daemon with the most of
-// them.
+// wrongShare returns the share of the servers whose factor is wrong by more than a ratio, at the daemon with the most
+// of them.
 func (f *simFleet) wrongShare(daemons []*simDaemon, by float64) float64 {
 	worst := 0
 	for _, d := range daemons {
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestModelsOnFewServers guards against factors that attribute the slowness of models to their servers, where most models
-// are on one or two servers. The effects of a server and of models that are on no other server can't be separated, so
-// more factors may be wrong.
+// TestModelsOnFewServers guards against factors that attribute the slowness of models to their servers, where most
+// models are on one or two servers. The effects of a server and of models that are on no other server can't be
+// separated, so more factors may be wrong.
 func TestModelsOnFewServers(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestSlowPeriodsLeaveFactors guards against factors that follow the periods of 600 ms in which a server is slower. These
-// periods come once in each cycle or at random intervals.
+// TestSlowPeriodsLeaveFactors guards against factors that follow the periods of 600 ms in which a server is slower.
+// These periods come once in each cycle or at random intervals.
 func TestSlowPeriodsLeaveFactors(t *testing.T) {
 	t.Parallel()
 	const allowed = 1.3
--- a/pace/sharer.go
+++ b/pace/sharer.go
@@ -25,7 +25,7 @@
 	Dispatching bool
 	Members     []string
 	Others      []string
-	// SampleInterval replaces TellPause as the minimum interval between two messages with samples if it is longer.
+	// SampleInterval replaces SendInterval as the minimum interval between two messages with samples if it is longer.
 	SampleInterval time.Duration
 }
 
@@ -40,8 +40,8 @@
 type Sharer struct {
 	tracker *Tracker
 
-	// ownMutex is held only briefly, so that the request path never waits for an estimate. It guards own, the samples of
-	// this daemon that are not yet recorded in the tracker.
+	// ownMutex is held only briefly, so that the request path never waits for an estimate. It guards own, the samples
+	// of this daemon that are not yet recorded in the tracker.
 	ownMutex sync.Mutex
 	own      *Batch
 
@@ -164,8 +164,8 @@
 	return append(outgoing, Outgoing{To: to, Update: Update{Entries: s.pending.Take(MaxEntries), FactorsMissing: lacking}})
 }
 
-// appendHandover adds a message with factors to the daemon that has replaced this one as dispatcher. That daemon may have
-// just started, without any factors.
+// appendHandover adds a message with factors to the daemon that has replaced this one as dispatcher. That daemon may
+// have just started, without any factors.
 func (s *Sharer) appendHandover(outgoing []Outgoing) []Outgoing {
 	to := s.successor
 	s.successor = ""
@@ -219,8 +219,8 @@
 	return append(outgoing, Outgoing{To: []string{member}, Update: Update{Factors: factors}})
 }
 
-// nextMember returns the member whose last message with factors is oldest or missing, and the highest sequence number of
-// all members.
+// nextMember returns the member whose last message with factors is oldest or missing, and the highest sequence number
+// of all members.
 func (s *Sharer) nextMember() (next string, newest uint64) {
 	if !s.place.Dispatching {
 		return "", 0
--- a/pace/sharer_test.go
+++ b/pace/sharer_test.go
@@ -32,8 +32,8 @@
 	return count
 }
 
-// TestSamplesCountOnce guards against samples that return to a daemon that has already counted them. Dispatchers forward
-// only samples of their own group, and members receive factors instead of samples.
+// TestSamplesCountOnce guards against samples that return to a daemon that has already counted them. Dispatchers
+// forward only samples of their own group, and members receive factors instead of samples.
 func TestSamplesCountOnce(t *testing.T) {
 	known := directory{"a": true, "b": true}
 	s := pace.NewSharer(pace.NewTracker())
@@ -153,8 +153,8 @@
 	}
 }
 
-// TestConcurrentUse guards against data races between the request path, received messages and the estimate. It needs the
-// race detector.
+// TestConcurrentUse guards against data races between the request path, received messages and the estimate. It needs
+// the race detector.
 func TestConcurrentUse(t *testing.T) {
 	known, tracker := directory{"a": true, "b": true}, pace.NewTracker()
 	s := pace.NewSharer(tracker)
--- a/pace/tracker.go
+++ b/pace/tracker.go
@@ -36,9 +36,9 @@
 	Serves(service, model string) bool
 }
 
-// Tracker estimates the factor of each instance: how long its work takes relative to the typical instance of its service.
-// It is safe for concurrent use. Instances are identified by their IDs, which differ between runs of the same server.
-// Forget removes the state of an instance.
+// Tracker estimates the factor of each instance: how long its work takes relative to the typical instance of its
+// service. It is safe for concurrent use. Instances are identified by their IDs, which differ between runs of the same
+// server. Prune removes the state of instances that are gone.
 type Tracker struct {
 	mutex     sync.Mutex
 	instances map[string]*instanceState
@@ -77,8 +77,8 @@
 	observations []observation
 	// samples counts all samples so far, up to minFactorSamples.
 	samples int
-	// recentSamples is the number of samples, decayed exponentially over minWindow. decayedAt is when the decay was last
-	// applied.
+	// recentSamples is the number of samples, decayed exponentially over minWindow. decayedAt is when the decay was
+	// last applied.
 	recentSamples float64
 	decayedAt     time.Time
 	// receivedEffect is the logarithm of the factor received from another daemon, and receivedWeight its weight in
@@ -107,8 +107,8 @@
 	return 1
 }
 
-// Record records samples and returns those that it accepted. It skips invalid entries, and entries of instances or models
-// that are not in the directory.
+// Record records samples and returns those that it accepted. It skips invalid entries, and entries of instances or
+// models that are not in the directory.
 func (t *Tracker) Record(now time.Time, entries []Entry, directory Directory) []Entry {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -209,8 +209,8 @@
 	return weight
 }
 
-// MergeFactors merges factors received from a dispatcher. They already include this daemon's own samples, so the weight of these
-// is reduced. With onlyNew, instances that have a factor are skipped.
+// MergeFactors applies factors received from a dispatcher. They already include this daemon's own samples, so the
+// weight of these is reduced. With onlyNew, instances that have a factor are skipped.
 func (t *Tracker) MergeFactors(factors map[string]uint8, directory Directory, onlyNew bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/pace/tracker_test.go
+++ b/pace/tracker_test.go
@@ -25,8 +25,8 @@
 	return pace.Entry{Instance: instance, Model: model, Log: float32(math.Log(seconds)), Count: count}
 }
 
-// TestBadEntriesAreDropped guards against messages of faulty daemons that distort factors or make the state grow without
-// bound.
+// TestBadEntriesAreDropped guards against messages of faulty daemons that distort factors or make the state grow
+// without bound.
 func TestBadEntriesAreDropped(t *testing.T) {
 	known := directory{"a": true, "b": true}
 	bad := map[string]pace.Entry{
--- a/peer/tunnel.go
+++ b/peer/tunnel.go
@@ -58,7 +58,7 @@
 
 // ServeTunnels sets how the transport connects to targets for other daemons. The function connect returns
 // an error of the class ErrRelayNoRoute or ErrRelayDeclined if this daemon cannot or may not do so.
-// Without Carry, tunnels are declined.
+// Unless ServeTunnels is called, tunnels are declined.
 func (t *Transport[M]) ServeTunnels(connect func(ctx context.Context, target string) (net.Conn, error)) {
 	t.tunnels.mutex.Lock()
 	defer t.tunnels.mutex.Unlock()
--- a/quarantine/contentpolicies_test.go
+++ b/quarantine/contentpolicies_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// The load of this simulation is that of the deployment of the incident: 18 servers, 90 streams a second that run for 0.5
-// to 3 s, five servers for each of the busiest models, and servers that restart within 2.2 to 6 s. A crashing request
-// crashes its server 80 ms after it began. A client resends a request once whose answer was interrupted; a crashing
-// request is resent 0.7 s later, as long as it is not held. Daemons receive the report of a crash 50 ms later.
+// The load of this simulation is that of the deployment of the incident: 18 servers, 90 streams a second that run for
+// 0.5 to 3 s, five servers for each of the busiest models, and servers that restart within 2.2 to 6 s. A crashing
+// request crashes its server 80 ms after it began. A client resends a request once whose answer was interrupted; a
+// crashing request is resent 0.7 s later, as long as it is not held. Daemons receive the report of a crash 50 ms later.
 const (
 	serverCount        = 18
 	serversPerModel    = 5
@@ -98,9 +98,9 @@
 }
 
 type totals struct {
-	// crashedServers are servers that crashed under crashing requests, bystanders the harmless requests that these crashes
-	// interrupted. harmlessHeld are harmless requests that were held, and interrupted all harmless requests that a crash
-	// interrupted.
+	// crashedServers are servers that crashed under crashing requests, bystanders the harmless requests that these
+	// crashes interrupted. harmlessHeld are harmless requests that were held, and interrupted all harmless requests
+	// that a crash interrupted.
 	crashedServers, bystanders, harmlessHeld, interrupted int
 }
 
@@ -308,8 +308,9 @@
 	return sum
 }
 
-// TestHarmlessContentsAreHardlyEverHeld bounds the effects of the policy in use: a crashing request crashes as many servers
-// as the limit, and one more if another content was present at each of these crashes. Hardly any harmless request is held.
+// TestHarmlessContentsAreHardlyEverHeld bounds the effects of the policy in use: a crashing request crashes as many
+// servers as the limit, and one more if another content was present at each of these crashes. Hardly any harmless
+// request is held.
 func TestHarmlessContentsAreHardlyEverHeld(t *testing.T) {
 	const seeds = 10
 	for _, workload := range loads {
--- a/quarantine/eviction.go
+++ b/quarantine/eviction.go
@@ -23,8 +23,8 @@
 // evictionBatch is the number of records that a full tracker evicts at once, since an eviction has to sort all records.
 const evictionBatch = maxRecords / 16
 
-// evictIfFull evicts the weakest records if the tracker is full: those with the fewest crashes, and of those the ones with
-// the oldest crashes. A flood of contents that crash one server each does not evict one that has crashed several.
+// evictIfFull evicts the weakest records if the tracker is full: those with the fewest crashes, and of those the ones
+// with the oldest crashes. A flood of contents that crash one server each does not evict one that has crashed several.
 func (t *Tracker) evictIfFull(now time.Time) {
 	if len(t.records) < maxRecords {
 		return
--- a/quarantine/hold.go
+++ b/quarantine/hold.go
@@ -88,9 +88,9 @@
 
 // holdsPart decides whether a part is held, by itself or together with other parts. A crash does not count against the
 // part if another content or part at that crash has more crashes. A content that was present at all crashes of the part
-// is the more specific cause, so the part is not held. If several parts were present at the same crashes, any of them may
-// be the cause: only requests that have all of them are held. Requests with some of them still run and show which one it
-// is.
+// is the more specific cause, so the part is not held. If several parts were present at the same crashes, any of them
+// may be the cause: only requests that have all of them are held. Requests with some of them still run and show which
+// one it is.
 func (t *Tracker) holdsPart(part Digest, rec *record) (held bool, heldWith []Digest) {
 	limit := t.partLimit
 	if rec.remoteHoldAt.After(rec.clearedAt) {
@@ -134,10 +134,10 @@
 	return false, heldWith
 }
 
-// holdsContent decides whether a content is held: whether enough crashes count against it. A content that runs beside the
-// cause is present at some of the crashes; the cause is present at all of its own. So a crash does not count against a
-// content if another content at that crash has more crashes. If two contents were present at the same crashes, either may
-// be the cause, and one further crash is required. Parts are not considered.
+// holdsContent decides whether a content is held: whether enough crashes count against it. A content that runs beside
+// the cause is present at some of the crashes; the cause is present at all of its own. So a crash does not count
+// against a content if another content at that crash has more crashes. If two contents were present at the same
+// crashes, either may be the cause, and one further crash is required. Parts are not considered.
 func (t *Tracker) holdsContent(content Digest) bool {
 	rec := t.records[content]
 	if rec.crashCount < t.limit {
@@ -157,8 +157,8 @@
 	return unexplained >= t.limit && (!tied || rec.crashCount > t.limit)
 }
 
-// strongestRival returns the highest crash count of the other contents at the crash of a server, and whether one of them
-// was present at all crashes of the content.
+// strongestRival returns the highest crash count of the other contents at the crash of a server, and whether one of
+// them was present at all crashes of the content.
 func (t *Tracker) strongestRival(server string, content Digest) (highest int, same bool) {
 	for _, other := range t.digestsAtCrash[server] {
 		rival := t.records[other]
--- a/quarantine/hold_test.go
+++ b/quarantine/hold_test.go
@@ -140,7 +140,8 @@
 	}
 }
 
-// TestSuspectsOfARequest covers the order in which turns are taken: the content or part with the most crashes comes first.
+// TestSuspectsOfARequest covers the order in which turns are taken: the content or part with the most crashes comes
+// first.
 func TestSuspectsOfARequest(t *testing.T) {
 	tracker := NewTracker()
 	request := testRequest{"content", []string{"first", "dead", "once"}}
@@ -226,8 +227,8 @@
 	}
 }
 
-// TestLateNewsOfACrashDoesNotUndoAGoodEnd covers crashes that are reported only after a later successful run, as happens
-// while many servers crash at once: they do not count.
+// TestLateNewsOfACrashDoesNotUndoAGoodEnd covers crashes that are reported only after a later successful run, as
+// happens while many servers crash at once: they do not count.
 func TestLateNewsOfACrashDoesNotUndoAGoodEnd(t *testing.T) {
 	tracker := NewTracker()
 	popular := testRequest{"one", []string{"popular"}}
@@ -243,8 +244,8 @@
 	}
 }
 
-// TestDoubtfulPartsAreTriedAgainSoon covers a part that was in a successful answer and then at several crashes in a row:
-// nothing can clear it while it is held, so the first holds are short.
+// TestDoubtfulPartsAreTriedAgainSoon covers a part that was in a successful answer and then at several crashes in a
+// row: nothing can clear it while it is held, so the first holds are short.
 func TestDoubtfulPartsAreTriedAgainSoon(t *testing.T) {
 	tracker := NewTracker()
 	now := start
@@ -271,8 +272,9 @@
 	}
 }
 
-// TestVerdictOutlastsNewsOfForgottenCrashes covers a part under which more servers crashed at once than its record keeps.
-// Other daemons report the evicted crashes repeatedly, with a slightly later time in each round: the part must stay held.
+// TestVerdictOutlastsNewsOfForgottenCrashes covers a part under which more servers crashed at once than its record
+// keeps. Other daemons report the evicted crashes repeatedly, with a slightly later time in each round: the part must
+// stay held.
 func TestVerdictOutlastsNewsOfForgottenCrashes(t *testing.T) {
 	tracker := NewTracker()
 	for number := range 2 * maxCrashesPerRecord {
--- a/quarantine/partpolicies_test.go
+++ b/quarantine/partpolicies_test.go
@@ -37,8 +37,8 @@
 	// exemptServed exempts the parts of recent successful answers from suspicion.
 	exemptServed bool
 	limit        int
-	// turns runs requests with the same suspect one after the other; isolate runs at most one request with a suspect on a
-	// server.
+	// turns runs requests with the same suspect one after the other; isolate runs at most one request with a suspect on
+	// a server.
 	turns, isolate bool
 }
 
@@ -137,9 +137,9 @@
 	maxHarmlessHeldPerMille = 1
 )
 
-// TestPartsThatCrashServersAreHeld bounds the effects of the policy in use: at most five servers crash under a part, and no
-// server receives the part once the daemons have had the time to agree. Harmless requests with the same first part are
-// still served, and hardly any harmless request is held.
+// TestPartsThatCrashServersAreHeld bounds the effects of the policy in use: at most five servers crash under a part,
+// and no server receives the part once the daemons have had the time to agree. Harmless requests with the same first
+// part are still served, and hardly any harmless request is held.
 func TestPartsThatCrashServersAreHeld(t *testing.T) {
 	for _, scenario := range partScenarios {
 		t.Run(scenario.name, func(t *testing.T) {
--- a/quarantine/partsimulation_test.go
+++ b/quarantine/partsimulation_test.go
@@ -9,12 +9,12 @@
 
 // partTotals are the sums over the requests and servers of simulations.
 type partTotals struct {
-	// crashedServers are servers that crashed under crashing requests. late are crashing requests that were sent later than
-	// agreementTime after the fifth crash.
+	// crashedServers are servers that crashed under crashing requests. late are crashing requests that were sent later
+	// than agreementTime after the fifth crash.
 	crashedServers, late int
-	// sent and served are harmless requests of the first route that arrived later than twice agreementTime after the last
-	// of the first five crashes. harmless are all harmless requests, lost those that were not served, and held those that
-	// were held.
+	// sent and served are harmless requests of the first route that arrived later than twice agreementTime after the
+	// last of the first five crashes. harmless are all harmless requests, lost those that were not served, and held
+	// those that were held.
 	sent, served, lost, held, harmless int
 }
 
@@ -196,8 +196,8 @@
 	return true
 }
 
-// choose returns the server that gets a request: if the load is sticky, the one of its second part if available; else the
-// one with the fewest requests.
+// choose returns the server that gets a request: if the load is sticky, the one of its second part if available; else
+// the one with the fewest requests.
 func (s *partSimulation) choose(request *partRequest, suspect bool) *partServer {
 	var best *partServer
 	sticky := -1
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// crashLimit is the number of crashed servers from which a content is held. A crash ends all 6 to 64 requests of its
-	// server, and a client sends each of them once or twice more. So a harmless content meets two crashes in a row by
-	// chance now and then, but three hardly ever (see TestHarmlessContentsAreHardlyEverHeld).
+	// crashLimit is the number of crashed servers from which a content is held. A crash ends all 6 to 64 requests of
+	// its server, and a client sends each of them once or twice more. So a harmless content meets two crashes in a row
+	// by chance now and then, but three hardly ever (see TestHarmlessContentsAreHardlyEverHeld).
 	crashLimit = 3
 	// HoldDuration is how long a content is held after the last crash under it. The next request with the content then
-	// reaches a server; if that server crashes too, the content is held again. A cause that is not fixed therefore crashes
-	// at most six servers an hour, in addition to servers that receive the content at the same moment.
+	// reaches a server; if that server crashes too, the content is held again. A cause that is not fixed therefore
+	// crashes at most six servers an hour, in addition to servers that receive the content at the same moment.
 	HoldDuration = 10 * time.Minute
-	// doubtfulHoldDuration is the first hold of a part that has been in a successful answer since it was first suspected.
-	// Each further crash multiplies the hold by doubtfulHoldFactor. A part that most requests of a route share may be
-	// present at several crashes in a row by chance, and nothing can clear it while it is held.
+	// doubtfulHoldDuration is the first hold of a part that has been in a successful answer since it was first
+	// suspected. Each further crash multiplies the hold by doubtfulHoldFactor. A part that most requests of a route
+	// share may be present at several crashes in a row by chance, and nothing can clear it while it is held.
 	doubtfulHoldDuration = 5 * time.Second
 	doubtfulHoldFactor   = 4
 	// crashRetention is how long a record is kept after its last crash. A content whose record has expired has to reach
@@ -25,14 +25,14 @@
 	// clearedRetention is how long a record is kept without any crash that counts. It covers the time in which other
 	// daemons may still report one of its crashes.
 	clearedRetention = time.Minute
-	// maxRecords limits the records of contents and parts, to about 2 MB. A crash adds up to 64 contents, and about as many
-	// parts that no answer has cleared.
+	// maxRecords limits the records of contents and parts, to about 2 MB. A crash adds up to 64 contents, and about as
+	// many parts that no answer has cleared.
 	maxRecords = 8192
-	// durableCrashCount is the number of crashes from which the evidence against a content is kept in the store, so that
-	// it survives the loss of all daemons before the content is held. Harmless contents reach it occasionally.
+	// durableCrashCount is the number of crashes from which the evidence against a content is kept in the store, so
+	// that it survives the loss of all daemons before the content is held. Harmless contents reach it occasionally.
 	durableCrashCount = crashLimit - 1
-	// confirmationTimeout is how long an unconfirmed crash stays pending. It exceeds the three missed heartbeats, 3.6 s on
-	// the platform, after which the entry of a silent server is removed.
+	// confirmationTimeout is how long an unconfirmed crash stays pending. It exceeds the three missed heartbeats, 3.6 s
+	// on the platform, after which the entry of a silent server is removed.
 	confirmationTimeout = 5 * time.Second
 	// maxCrashesPerRecord limits the crashes that are kept for one content or part.
 	maxCrashesPerRecord = 16
@@ -72,9 +72,9 @@
 	return servers
 }
 
-// Tracker tracks which contents and shared parts of prompts were running on servers that crashed, and decides which of them
-// are held: requests with a held content or part are not sent to servers. Trackers with the same information make the same
-// decisions, whatever the order in which they received it. A Tracker is not safe for concurrent use.
+// Tracker tracks which contents and shared parts of prompts were running on servers that crashed, and decides which of
+// them are held: requests with a held content or part are not sent to servers. Trackers with the same information make
+// the same decisions, whatever the order in which they received it. A Tracker is not safe for concurrent use.
 type Tracker struct {
 	// limit is the number of crashes from which a content is held, partLimit the number for a part.
 	limit, partLimit int
@@ -112,8 +112,8 @@
 	return rec.confirmDeadline(now)
 }
 
-// confirmDeadline returns when the oldest pending crash stops being pending unless it is confirmed before; the zero time
-// if no crash is pending.
+// confirmDeadline returns when the oldest pending crash stops being pending unless it is confirmed before; the zero
+// time if no crash is pending.
 func (r *record) confirmDeadline(now time.Time) time.Time {
 	var first time.Time
 	for _, seen := range r.crashes {
@@ -124,7 +124,8 @@
 	return first
 }
 
-// HeldUntil returns until when requests with a content are not sent to servers; the zero time if the content is not held.
+// HeldUntil returns until when requests with a content are not sent to servers; the zero time if the content is not
+// held.
 func (t *Tracker) HeldUntil(now time.Time, content Digest) time.Time {
 	rec := t.records[content]
 	if rec == nil || !rec.held {
@@ -233,7 +234,7 @@
 	return t.Merge(now, Update{Items: []Item{item}})
 }
 
-// Merge merges an update of another tracker, and returns what changed.
+// Merge applies an update of another tracker, and returns what changed.
 func (t *Tracker) Merge(now time.Time, update Update) Change {
 	var change Change
 	affected := map[Digest]bool{}
@@ -319,8 +320,8 @@
 	return isNew
 }
 
-// addAffected adds the contents and parts whose hold may depend on the changed items: all that were present at a crash of
-// one of these items.
+// addAffected adds the contents and parts whose hold may depend on the changed items: all that were present at a crash
+// of one of these items.
 func (t *Tracker) addAffected(changed *Update, affected map[Digest]bool) {
 	for i := range changed.Items {
 		rec := t.records[changed.Items[i].Digest]
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestServersThatEndTogetherCountAsOne covers a rack failure: a content that many clients send runs on all servers of the
-// rack, and no run of it has had the time to succeed since.
+// TestServersThatEndTogetherCountAsOne covers a rack failure: a content that many clients send runs on all servers of
+// the rack, and no run of it has had the time to succeed since.
 func TestServersThatEndTogetherCountAsOne(t *testing.T) {
 	tracker := NewTracker()
 	for number := range 8 {
@@ -171,8 +171,8 @@
 	}
 }
 
-// TestClearedContentsAreForgottenSoon guards against records of cleared contents that outlive clearedRetention: while the
-// tracker has any record, the digest of each request is computed.
+// TestClearedContentsAreForgottenSoon guards against records of cleared contents that outlive clearedRetention: while
+// the tracker has any record, the digest of each request is computed.
 func TestClearedContentsAreForgottenSoon(t *testing.T) {
 	tracker := NewTracker()
 	crashContents(tracker, start, "server", "cleared", "suspect")
@@ -214,8 +214,8 @@
 	}
 }
 
-// TestOrderOfNewsDoesNotMatter merges the same updates on contents and parts into two trackers in different orders, some of
-// them twice: both trackers must hold the same contents and parts.
+// TestOrderOfNewsDoesNotMatter merges the same updates on contents and parts into two trackers in different orders,
+// some of them twice: both trackers must hold the same contents and parts.
 func TestOrderOfNewsDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		contents := []string{"a", "b", "c", "d", "e", "f", "g"}
@@ -256,8 +256,8 @@
 	})
 }
 
-// TestUnconfirmedCrashes covers servers that close new connections. It guards against copies of a content being sent while
-// crashes are pending, and against contents being held by unconfirmed crashes.
+// TestUnconfirmedCrashes covers servers that close new connections. It guards against copies of a content being sent
+// while crashes are pending, and against contents being held by unconfirmed crashes.
 func TestUnconfirmedCrashes(t *testing.T) {
 	victims := func(now time.Time) []InterruptedRequest {
 		return []InterruptedRequest{{Content: testDigest("a"), Began: now.Add(-runTime)}}
--- a/quarantine/update.go
+++ b/quarantine/update.go
@@ -77,8 +77,8 @@
 // maxUpdateItems limits an update to some 20 kB.
 const maxUpdateItems = 256
 
-// Snapshot returns the evidence that a daemon may lack that has just started or has missed a message: all records that hold
-// requests, and those that changed within the span.
+// Snapshot returns the evidence that a daemon may lack that has just started or has missed a message: all records that
+// hold requests, and those that changed within the span.
 func (t *Tracker) Snapshot(now time.Time, span time.Duration) Update {
 	var held, fresh []Item
 	for content, rec := range t.records {
--- a/quota/buckets.go
+++ b/quota/buckets.go
@@ -47,7 +47,7 @@
 	// localBuckets are for the time in which no owner or stand-in can be reached.
 	localBuckets map[string]*bucket
 	rivalClaims  map[string]rivalClaim
-	// aliveCount is the number of reachable daemons at the last call of Own.
+	// aliveCount is the number of reachable daemons at the last call of SetOwned.
 	aliveCount int
 	// lastActiveAt is when the process was last observed to run. stalled says that it did not run for a while
 	// before that, and that Tick has not reported it yet.
@@ -71,8 +71,8 @@
 	return NewBucketsWithLevel(func(string) float64 { return -debt })
 }
 
-// NewBucketsWithLevel returns a Buckets that calls a function for the level at which it begins to grant a limit. The function
-// must not call the Buckets.
+// NewBucketsWithLevel returns a Buckets that calls a function for the level at which it begins to grant a limit. The
+// function must not call the Buckets.
 func NewBucketsWithLevel(initialLevel func(name string) float64) *Buckets {
 	return &Buckets{
 		buckets: map[string]*bucket{}, localBuckets: map[string]*bucket{}, rivalClaims: map[string]rivalClaim{},
@@ -170,8 +170,8 @@
 	}
 }
 
-// bucket returns the bucket of a subject for a role. A new bucket begins at the initial level. An existing one is lowered
-// to at most that level if the role changes, or if a stand-in has not used it for standInIdleTTL.
+// bucket returns the bucket of a subject for a role. A new bucket begins at the initial level. An existing one is
+// lowered to at most that level if the role changes, or if a stand-in has not used it for standInIdleTTL.
 func (b *Buckets) bucket(now time.Time, name string, role Role) *bucket {
 	existing := b.buckets[name]
 	if existing == nil {
@@ -186,7 +186,7 @@
 }
 
 // Take takes the cost of one request of a subject, as its owner or a stand-in by the local snapshot
-// of the fleet. Within is how long the request may wait for its turn.
+// of the fleet. The parameter within is how long the request may wait for its turn.
 func (b *Buckets) Take(now time.Time, fleet *Fleet, name string, limit *Limit, cost float64, within time.Duration) Answer {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -199,7 +199,7 @@
 	return Answer{Granted: granted, Wait: wait}
 }
 
-// Refund refunds what Take granted a moment ago and was not used.
+// Refund returns what Take granted a moment ago and was not used.
 func (b *Buckets) Refund(now time.Time, fleet *Fleet, name string, limit *Limit, cost float64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -81,7 +81,7 @@
 	return names
 }
 
-// Merge merges one object from any source, such as the response to a write by
+// Merge applies one object from any source, such as the response to a write by
 // this daemon. It does not change the version that the store is complete
 // through. It returns whether the object was newer than the stored one.
 func (s *Store) Merge(object api.Object) bool {
--- a/resumption/doc.go
+++ b/resumption/doc.go
@@ -1,11 +1,13 @@
-// Package resumption tracks which software version began a stream. Instances of several versions may serve at the same time.
-// Their outputs cannot be joined into one stream, and the instances do not check this. An interrupted stream therefore
-// resumes only at the version that began it, also when its client resumes it at a daemon that did not begin it.
+// Package resumption tracks which software version began a stream. Instances of several versions may serve at the same
+// time. Their outputs cannot be joined into one stream, and the instances do not check this. An interrupted stream
+// therefore resumes only at the version that began it, also when its client resumes it at a daemon that did not begin
+// it.
 //
-// While a service has one version, no messages are needed: each daemon records only its own streams. As soon as a second
-// version is seen, each daemon sends the versions of its streams to two other daemons, selected by rendezvous hashing of
-// the stream's ID. A daemon at which a client resumes a stream queries the daemons that may have received its version. If
-// none of them has it, the stream resumes only if the service has had a single version for as long as a client may wait.
+// While a service has one version, no messages are needed: each daemon records only its own streams. As soon as a
+// second version is seen, each daemon sends the versions of its streams to two other daemons, selected by rendezvous
+// hashing of the stream's ID. A daemon at which a client resumes a stream queries the daemons that may have received
+// its version. If none of them has it, the stream resumes only if the service has had a single version for as long as a
+// client may wait.
 //
 // A Tracker does no I/O and reads no clock. It is safe for concurrent use.
 package resumption
@@ -49,8 +51,8 @@
 	// Known reports whether the daemon has a record of what began the stream.
 	Known bool  `msgpack:"k,omitempty"`
 	Began Began `msgpack:"b"`
-	// Versions are the recent versions of the service that the daemon has seen. Fresh reports whether the daemon currently
-	// receives updates about new instances.
+	// Versions are the recent versions of the service that the daemon has seen. Fresh reports whether the daemon
+	// currently receives updates about new instances.
 	Versions []string `msgpack:"n,omitempty"`
 	Fresh    bool     `msgpack:"f,omitempty"`
 }
--- a/resumption/simulation_test.go
+++ b/resumption/simulation_test.go
@@ -56,8 +56,8 @@
 	return last
 }
 
-// simulation runs a fleet in virtual time. Streams begin, are interrupted and resumed while daemons are killed and isolated
-// and the software of the instances is replaced.
+// simulation runs a fleet in virtual time. Streams begin, are interrupted and resumed while daemons are killed and
+// isolated and the software of the instances is replaced.
 type simulation struct {
 	now      time.Time
 	queue    events
@@ -104,7 +104,8 @@
 	d.incarnation++
 }
 
-// refresh updates a daemon's state every 100 ms. A daemon that is not isolated receives new versions after a random delay.
+// refresh updates a daemon's state every 100 ms. A daemon that is not isolated receives new versions after a random
+// delay.
 func (s *simulation) refresh(d *simulatedDaemon, incarnation int) {
 	if d.incarnation != incarnation {
 		return
@@ -270,8 +271,9 @@
 	s.run(duration)
 }
 
-// TestStreamsKeepToTheirVersionAtSize guards against streams that mix two software versions while instances are replaced and
-// daemons are killed, restarted or isolated. It also guards against refusing to resume streams whose version still serves.
+// TestStreamsKeepToTheirVersionAtSize guards against streams that mix two software versions while instances are
+// replaced and daemons are killed, restarted or isolated. It also guards against refusing to resume streams whose
+// version still serves.
 func TestStreamsKeepToTheirVersionAtSize(t *testing.T) {
 	for count, seeds := range map[int]uint64{9: 4, 71: 2, 295: 1} {
 		for seed := range seeds {
--- a/resumption/tracker.go
+++ b/resumption/tracker.go
@@ -11,8 +11,8 @@
 const (
 	// holdersPerStream is how many other daemons record a stream, in two different zones if possible.
 	holdersPerStream = 2
-	// maxQueried is how many top-ranked daemons are queried about a stream. It exceeds holdersPerStream because the holders
-	// may have lost their rank: daemons may have stopped and restarted since.
+	// maxQueried is how many top-ranked daemons are queried about a stream. It exceeds holdersPerStream because the
+	// holders may have lost their rank: daemons may have stopped and restarted since.
 	maxQueried = 8
 	// freshWindow is how long after a confirmation a daemon counts as receiving updates about new instances.
 	freshWindow = 300 * time.Millisecond
@@ -55,8 +55,8 @@
 	t.others, t.zones = set, zones
 }
 
-// MarkSynced records that this daemon currently receives updates about new instances. It must be called repeatedly, so that
-// a daemon whose process was frozen does not count as up to date.
+// MarkSynced records that this daemon currently receives updates about new instances. It must be called repeatedly, so
+// that a daemon whose process was frozen does not count as up to date.
 func (t *Tracker) MarkSynced(now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -70,8 +70,8 @@
 	t.versionWindow = versionWindow
 }
 
-// Observe records the versions of a service that are present now. When the service first has several versions, it returns
-// the updates to send to other daemons.
+// Observe records the versions of a service that are present now. When the service first has several versions, it
+// returns the updates to send to other daemons.
 func (t *Tracker) Observe(now time.Time, service string, present []string) []Update {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -138,7 +138,7 @@
 	return []string{ranked[0], second}
 }
 
-// Merge merges streams reported by another daemon.
+// Merge adds streams reported by another daemon.
 func (t *Tracker) Merge(now time.Time, streams []Stream) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -180,10 +180,10 @@
 	}
 }
 
-// Decide returns the version at which to resume a stream that no daemon has a record of, given the answers of the queried
-// daemons. It returns false if the version cannot be determined. It can be determined only if this daemon and the answers
-// show a single version of the service for as long as a client may wait. It also requires that one of these daemons
-// currently receives updates about new instances. If the client does not name the stream (named is false), this
+// Decide returns the version at which to resume a stream that no daemon has a record of, given the answers of the
+// queried daemons. It returns false if the version cannot be determined. It can be determined only if this daemon and
+// the answers show a single version of the service for as long as a client may wait. It also requires that one of these
+// daemons currently receives updates about new instances. If the client does not name the stream (named is false), this
 // requirement does not apply: the decision then rests on the versions that this daemon has seen.
 func (t *Tracker) Decide(now time.Time, service string, named bool, answers []*Answer) (software string, known bool) {
 	t.mutex.Lock()
@@ -218,7 +218,7 @@
 
 // Counts are the sizes of a Tracker's state.
 type Counts struct {
-	// Streams is the number of recorded streams, Mixed the number of services with several versions.
+	// Streams is the number of recorded streams, MixedServices the number of services with several versions.
 	Streams       int
 	MixedServices int
 }
--- a/resumption/tracker_test.go
+++ b/resumption/tracker_test.go
@@ -12,8 +12,8 @@
 	return Stream{ID: id, Service: "svc", Software: software, Left: 10 * time.Second}
 }
 
-// TestDecide guards against resuming a stream whose version cannot be determined, and against refusing a stream of a service
-// that has only one version.
+// TestDecide guards against resuming a stream whose version cannot be determined, and against refusing a stream of a
+// service that has only one version.
 func TestDecide(t *testing.T) {
 	one, other := &Answer{Versions: []string{"v1"}}, &Answer{Versions: []string{"v1", "v2"}, Fresh: true}
 	cases := []struct {
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestSecondVersionTellsOfStreamsBefore guards against streams that began before the second version appeared and that no
-// other daemon has recorded.
+// TestSecondVersionTellsOfStreamsBefore guards against streams that began before the second version appeared and that
+// no other daemon has recorded.
 func TestSecondVersionTellsOfStreamsBefore(t *testing.T) {
 	tracker := NewTracker()
 	tracker.SetVersionWindow(time.Minute)
--- a/ring/ring.go
+++ b/ring/ring.go
@@ -58,7 +58,7 @@
 // Items exposes the receiving side for use in a select statement.
 func (r *Ring[T]) Items() <-chan T { return r.items }
 
-// Dropped returns the number of items that Offer rejected.
+// Dropped returns the number of items that TryPut rejected.
 func (r *Ring[T]) Dropped() uint64 { return r.dropped.Load() }
 
 // Len returns the number of items waiting.
--- a/tenant/tenant_test.go
+++ b/tenant/tenant_test.go
@@ -79,7 +79,8 @@
 	return tenants
 }
 
-// TestLookUpAllocatesNothing guards against allocations in the key look-up, which runs for each request, with 100,000 keys.
+// TestLookUpAllocatesNothing guards against allocations in the key look-up, which runs for each request, with 100,000
+// keys.
 func TestLookUpAllocatesNothing(t *testing.T) {
 	table := NewTable(manyTenants(100_000))
 	key := fmt.Sprintf("key-%016x", 4711)
