--- a/coordination/catchup.go
+++ b/coordination/catchup.go
@@ -245,7 +245,7 @@
 // none that tried, about one daemon per second tries at random. That soon detects whether the store
 // answers others, and costs no more calls than the watches that it replaces.
 func (n *Node) shouldSubstitute(now time.Time) bool {
-	if n.countStoreAway(now) < n.settings.Watchers+substitutesPerBatch {
+	if n.countStoreUnavailable(now) < n.settings.Watchers+substitutesPerBatch {
 		return true
 	}
 	drawsPerAttempt := float64(len(n.detector.Live())) * float64(time.Second) / float64(TickInterval)
@@ -260,8 +260,8 @@
 	substituteBatchDelay = 800 * time.Millisecond
 )
 
-// countStoreAway counts the daemons that recently reported that the store does not answer them.
-func (n *Node) countStoreAway(now time.Time) int {
+// countStoreUnavailable counts the daemons that recently reported that the store does not answer them.
+func (n *Node) countStoreUnavailable(now time.Time) int {
 	count := 0
 	for _, peer := range n.peers {
 		if peer.load.StoreUnavailable && now.Sub(peer.at) <= storeAwayTTL {
@@ -272,7 +272,7 @@
 }
 
 // PeersWithoutStore reports whether another daemon recently reported that the store does not answer it.
-func (n *Node) PeersWithoutStore(now time.Time) bool { return n.countStoreAway(now) > 0 }
+func (n *Node) PeersWithoutStore(now time.Time) bool { return n.countStoreUnavailable(now) > 0 }
 
 // storeAwayTTL is how long such a report counts. In a large fleet each daemon sends its state to some
 // others five times a second. Within this time a daemon receives updates from most others.
--- a/coordination/holderupdate.go
+++ b/coordination/holderupdate.go
@@ -15,7 +15,7 @@
 	// digestDiffersSince is since when the residency reports of the newest holder differ from those of this
 	// daemon.
 	digestDiffersSince time.Time
-	factsRequestedAt   time.Time
+	reportsRequestedAt time.Time
 }
 
 type updateNumber struct{ boot, sequence uint64 }
@@ -101,13 +101,13 @@
 	} else {
 		n.observeHolder(now, update.Root, update.Fence, update.Lease)
 	}
-	n.checkFactsDigest(now, update)
+	n.checkReportsDigest(now, update)
 	n.forwardHolderUpdate(update)
 }
 
-// checkFactsDigest requests all residency reports from the lease holder if those of this daemon have differed
+// checkReportsDigest requests all residency reports from the lease holder if those of this daemon have differed
 // for a while. Then an update was lost, or this daemon has just started.
-func (n *Node) checkFactsDigest(now time.Time, update *HolderUpdate) {
+func (n *Node) checkReportsDigest(now time.Time, update *HolderUpdate) {
 	state := &n.holderUpdates
 	if update.Digest == n.residencyReports.digest {
 		state.digestDiffersSince = time.Time{}
@@ -121,17 +121,17 @@
 		// This daemon has just started, so it requests the residency reports at once.
 		delay = 0
 	}
-	if now.Sub(state.digestDiffersSince) < delay || now.Sub(state.factsRequestedAt) < n.settings.ResidencyRequestInterval {
+	if now.Sub(state.digestDiffersSince) < delay || now.Sub(state.reportsRequestedAt) < n.settings.ResidencyRequestInterval {
 		return
 	}
-	state.factsRequestedAt = now
+	state.reportsRequestedAt = now
 	if root, found := n.detector.Lookup(update.Root); found {
 		n.enqueue(SendPeer{Address: root.PeerAddress, Message: Message{From: n.self, RequestResidencyReports: true}})
 	}
 }
 
-// sendAllFacts sends all residency reports to one daemon, if this daemon holds the lease.
-func (n *Node) sendAllFacts(now time.Time, from string) {
+// sendAllReports sends all residency reports to one daemon, if this daemon holds the lease.
+func (n *Node) sendAllReports(now time.Time, from string) {
 	if other, found := n.detector.Lookup(from); found && n.held {
 		n.enqueue(SendPeer{Address: other.PeerAddress, Message: Message{From: n.self, ResidencyReports: n.allResidencyReports(now)}})
 	}
--- a/coordination/holderupdate_test.go
+++ b/coordination/holderupdate_test.go
@@ -26,7 +26,7 @@
 		if w.dead[name] {
 			continue
 		}
-		if fact, found := w.nodes[name].ResidencyReportOf(instance); found && len(fact.Residents) > 0 && fact.Residents[len(fact.Residents)-1].Model == model {
+		if report, found := w.nodes[name].ResidencyReportOf(instance); found && len(report.Residents) > 0 && report.Residents[len(report.Residents)-1].Model == model {
 			count++
 		}
 	}
@@ -67,8 +67,8 @@
 	for _, name := range w.names() {
 		w.perform(name, w.nodes[name].InstancesListed(w.now, listing(9, "i1")))
 	}
-	fact := coordination.ResidencyReport{Instance: "i2", Sequence: 9}
-	w.perform(late, w.nodes[late].Receive(w.now, coordination.Message{From: holder, ResidencyReports: []coordination.ResidencyReport{fact}}))
+	report := coordination.ResidencyReport{Instance: "i2", Sequence: 9}
+	w.perform(late, w.nodes[late].Receive(w.now, coordination.Message{From: holder, ResidencyReports: []coordination.ResidencyReport{report}}))
 	if w.nodes[late].HasResidencyReport("i2") {
 		t.Error("the fact of a removed instance is kept")
 	}
@@ -111,8 +111,8 @@
 		}
 		unloads++
 		for _, name := range w.names() {
-			fact, _ := w.nodes[name].ResidencyReportOf(order.Instance)
-			if slices.ContainsFunc(fact.Residents, func(resident fleet.Resident) bool { return resident.Model == order.Model }) {
+			report, _ := w.nodes[name].ResidencyReportOf(order.Instance)
+			if slices.ContainsFunc(report.Residents, func(resident fleet.Resident) bool { return resident.Model == order.Model }) {
 				t.Errorf("%s still considers %s to serve %s", name, order.Instance, order.Model)
 			}
 		}
--- a/coordination/node.go
+++ b/coordination/node.go
@@ -216,7 +216,7 @@
 		n.mergeResidencyReport(entry, now.Add(-entry.Age))
 	}
 	if message.RequestResidencyReports {
-		n.sendAllFacts(now, message.From)
+		n.sendAllReports(now, message.From)
 	}
 	if message.HolderUpdate != nil {
 		n.receiveHolderUpdate(now, message)
--- a/coordination/observationupdate.go
+++ b/coordination/observationupdate.go
@@ -73,43 +73,43 @@
 	return n.takeActions()
 }
 
-func (n *Node) broadcastObservation(bulletin ObservationUpdate) {
+func (n *Node) broadcastObservation(update ObservationUpdate) {
 	state := &n.observationUpdates
 	state.sequence++
-	bulletin.Root, bulletin.Boot, bulletin.Sequence = n.self, state.boot, state.sequence
-	n.forwardObservation(&bulletin)
+	update.Root, update.Boot, update.Sequence = n.self, state.boot, state.sequence
+	n.forwardObservation(&update)
 }
 
-func (n *Node) forwardObservation(bulletin *ObservationUpdate) {
-	n.forwardToChildren(bulletin.Root, bulletin.Sequence, Message{From: n.self, ObservationUpdate: bulletin})
+func (n *Node) forwardObservation(update *ObservationUpdate) {
+	n.forwardToChildren(update.Root, update.Sequence, Message{From: n.self, ObservationUpdate: update})
 }
 
 // receiveObservationUpdate processes a message and forwards it the first time it is received. Forwarding it again
 // could loop for ever while the daemons' trees differ. Messages of one daemon alternate between trees
 // and may overtake each other.
-func (n *Node) receiveObservationUpdate(bulletin *ObservationUpdate) {
-	if bulletin.Root == n.self {
+func (n *Node) receiveObservationUpdate(update *ObservationUpdate) {
+	if update.Root == n.self {
 		return
 	}
-	if bulletin.Root != "" {
-		seen := n.observationUpdates.received[bulletin.Root]
-		if seen == nil || seen.boot != bulletin.Boot {
-			seen = &seenMessages{boot: bulletin.Boot}
-			n.observationUpdates.received[bulletin.Root] = seen
+	if update.Root != "" {
+		seen := n.observationUpdates.received[update.Root]
+		if seen == nil || seen.boot != update.Boot {
+			seen = &seenMessages{boot: update.Boot}
+			n.observationUpdates.received[update.Root] = seen
 		}
-		if !seen.markSeen(bulletin.Sequence) {
+		if !seen.markSeen(update.Sequence) {
 			return
 		}
-		n.forwardObservation(bulletin)
+		n.forwardObservation(update)
 	}
-	if !bulletin.Crashes.Empty() {
-		n.enqueue(CrashesReceived{Update: bulletin.Crashes})
+	if !update.Crashes.Empty() {
+		n.enqueue(CrashesReceived{Update: update.Crashes})
 	}
-	if !bulletin.Notices.Empty() {
-		n.enqueue(NoticesReceived{Update: bulletin.Notices})
+	if !update.Notices.Empty() {
+		n.enqueue(NoticesReceived{Update: update.Notices})
 	}
-	if !bulletin.Brittle.Empty() {
-		n.enqueue(BrittleReceived{Update: bulletin.Brittle})
+	if !update.Brittle.Empty() {
+		n.enqueue(BrittleReceived{Update: update.Brittle})
 	}
 }
 
--- a/coordination/receive_test.go
+++ b/coordination/receive_test.go
@@ -50,15 +50,15 @@
 	w := newWorld(1)
 	w.listAll()
 	node := w.nodes["n0"]
-	fact := []coordination.ResidencyReport{{Instance: "i1", Sequence: 7, Residents: []fleet.Resident{{Model: "n"}}}}
+	report := []coordination.ResidencyReport{{Instance: "i1", Sequence: 7, Residents: []fleet.Resident{{Model: "n"}}}}
 	gone := feed.Batch[*fleet.Instance]{At: history.At(0, 6), Items: []feed.Item[*fleet.Instance]{{Name: "i1", Place: history.At(0, 6), Gone: true}}}
 	w.perform("n0", node.InstancesChanged(w.now, gone))
-	w.perform("n0", node.Receive(w.now, coordination.Message{From: "n1", ResidencyReports: fact}))
+	w.perform("n0", node.Receive(w.now, coordination.Message{From: "n1", ResidencyReports: report}))
 	if node.HasResidencyReport("i1") {
 		t.Fatal("a report on an instance that is gone is accepted")
 	}
 	w.perform("n0", node.InstancesChanged(w.now, listing(8, "i1")))
-	w.perform("n0", node.Receive(w.now, coordination.Message{From: "n1", ResidencyReports: fact}))
+	w.perform("n0", node.Receive(w.now, coordination.Message{From: "n1", ResidencyReports: report}))
 	if !node.HasResidencyReport("i1") {
 		t.Error("a report on an instance that is listed again is ignored")
 	}
--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -259,7 +259,7 @@
 func (l *Limiter) Receive(from string, message *Message) {
 	switch {
 	case message.Ask != nil:
-		l.answerAsk(from, message.Ask)
+		l.answerRequest(from, message.Ask)
 	case message.Answer != nil:
 		l.calls.Answered(message.Answer.ID, message.Answer)
 	default:
@@ -267,8 +267,8 @@
 	}
 }
 
-// answerAsk answers a request of another daemon, or takes its refund.
-func (l *Limiter) answerAsk(from string, ask *Ask) {
+// answerRequest answers a request of another daemon, or takes its refund.
+func (l *Limiter) answerRequest(from string, ask *Ask) {
 	now, fleet := l.now(), l.fleet.Load()
 	limit := l.limitOf(ask)
 	if ask.Refund {
