--- a/reach/dialer.go
+++ b/reach/dialer.go
@@ -200,8 +200,8 @@
 	return count, err
 }
 
-// Reusable reports whether the connection should be reused.
-func (c *directConn) Reusable() bool { return c.dialer.tracker.Reusable(c.address, c.receivedAt) }
+// Fit reports whether the connection should be reused.
+func (c *directConn) Fit() bool { return c.dialer.tracker.Fit(c.address, c.receivedAt) }
 
 // SyscallConn returns the raw connection of the socket.
 func (c *directConn) SyscallConn() (syscall.RawConn, error) { return rawConnOf(c.Conn) }
@@ -213,9 +213,9 @@
 	address string
 }
 
-// Reusable reports whether the idle connection should be reused. It should not once the machine's own path works again,
+// Fit reports whether the idle connection should be reused. It should not once the machine's own path works again,
 // or the relaying daemon has announced that it stops, which it may do at any time.
-func (c *relayedConn) Reusable() bool {
+func (c *relayedConn) Fit() bool {
 	if retiring, ok := c.Conn.(interface{ Retiring() bool }); ok && retiring.Retiring() {
 		return false
 	}
--- a/reach/tracker.go
+++ b/reach/tracker.go
@@ -207,9 +207,9 @@
 	t.receivedAt = now
 }
 
-// Reusable reports whether an open connection to an address should be reused, given when bytes were last received over
+// Fit reports whether an open connection to an address should be reused, given when bytes were last received over
 // it. The connection may hang if the path has failed since then.
-func (t *Tracker) Reusable(address string, receivedAt time.Time) bool {
+func (t *Tracker) Fit(address string, receivedAt time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if entry := t.failed[address]; entry != nil && receivedAt.Before(entry.since) {
--- a/reach/tracker_test.go
+++ b/reach/tracker_test.go
@@ -119,15 +119,15 @@
 func TestConnectionsOverPathsThatFailedAreNotUsedAgain(t *testing.T) {
 	tracker := reach.NewTracker()
 	tracker.SetAddresses(20)
-	if !tracker.Reusable("a0", at(-5000)) {
+	if !tracker.Fit("a0", at(-5000)) {
 		t.Error("no failures: an idle connection is not reused")
 	}
 	tracker.Failed(at(0), "a0", at(0))
-	if tracker.Reusable("a0", at(-10)) || !tracker.Reusable("a0", at(10)) || !tracker.Reusable("a1", at(-10)) {
+	if tracker.Fit("a0", at(-10)) || !tracker.Fit("a0", at(10)) || !tracker.Fit("a1", at(-10)) {
 		t.Error("wrong connections reused after one address failed")
 	}
 	failAll(tracker, at(100), 2)
-	if tracker.Reusable("a5", at(-10)) || !tracker.Reusable("a5", at(200)) {
+	if tracker.Fit("a5", at(-10)) || !tracker.Fit("a5", at(200)) {
 		t.Error("wrong connections reused while all paths are in doubt")
 	}
 }
